--- a/Makefile
+++ b/Makefile
@@ -44,10 +44,11 @@
 lint: .venv-dev/ready
 	.venv-dev/bin/ruff check .
 	.venv-dev/bin/ruff format --check .
+	.venv-dev/bin/mypy
 
 # NODE_CONFIG=file make run
 run: .venv/ready
 	.venv/bin/python -m hopsail
 
 clean:
-	rm -rf .venv .venv-try .venv-system .venv-dev .pytest_cache .ruff_cache
+	rm -rf .venv .venv-try .venv-system .venv-dev .pytest_cache .ruff_cache .mypy_cache
--- a/tests/test_commands.py
+++ b/tests/test_commands.py
@@ -6,7 +6,6 @@
 import subprocess
 import sys
 import tomllib
-from pathlib import Path
 
 import pytest
 
@@ -14,8 +13,8 @@
 from hopsail.configuration.codes import ResultCode
 from hopsail.process import FAULTY_SETTINGS, SETTINGS_VARIABLE
 from hopsail.standins.settings import CORE, EDGE, Machine, Surroundings, settings_text
+from paths import ROOT
 
-ROOT = Path(__file__).resolve().parent.parent
 ENDS_WITHIN = 30  # s, on a busy machine
 AROUND = Surroundings({"zone-a": "region-1"}, [("127.0.0.1", 8169)], ("127.0.0.1", 8161))
 PROGRAMS = {"hopsail.dataplane": EDGE, "hopsail.controlplane": CORE}
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -3,7 +3,6 @@
 import random
 import re
 import typing
-from pathlib import Path
 
 import pytest
 
@@ -18,8 +17,8 @@
 from hopsail.configuration.codes import ConfigurationError, ResultCode
 from hopsail.configuration.items import ItemJoiner, ItemSplitter, canonical, join_items, split_items
 from hopsail.configuration.view import RouteTable
+from paths import ROOT
 
-ROOT = Path(__file__).parent.parent
 SCHEMAS = json.loads((ROOT / "hopsail/configuration/openapi.json").read_text())["components"]["schemas"]
 MESSAGES = {name: value for name, value in vars(types).items() if typing.is_typeddict(value)}
 
--- a/tests/test_deploy_packages.py
+++ b/tests/test_deploy_packages.py
@@ -8,8 +8,8 @@
 from pathlib import Path
 
 import pytest
+from paths import ROOT
 
-ROOT = Path(__file__).parent.parent
 DEPLOY = tomllib.loads((ROOT / "deploy" / "system.toml").read_text())
 
 # Package -> the programs, modules of `python3 -m` and shared libraries that it brings.
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -2,7 +2,6 @@
 
 import json
 from math import exp, factorial
-from pathlib import Path
 from random import Random
 from types import SimpleNamespace
 
@@ -14,6 +13,7 @@
 from hopsail.emulator.policies import NAMES
 from hopsail.emulator.world import START, World
 from hopsail.model import MS, SECOND, Outcome, State
+from paths import ROOT
 
 SMALL = {
     "fleet": {"balancers": 3, "caches": 6, "zones": 2},
@@ -270,7 +270,6 @@
 
 FEWER = {"fleet.balancers": 6, "fleet.caches": 12, "load.rate": "500/s", "origin.cores": 12,
          "origin.stops": "320/s", "load.keys": 8000}  # fmt: skip
-ROOT = Path(__file__).parent.parent
 SHIPPED = sorted([*ROOT.glob("deploy/scenarios/*.toml"), *ROOT.glob("hopsail/scenarios/*.toml")])
 
 
--- a/tests/test_own_days.py
+++ b/tests/test_own_days.py
@@ -1,11 +1,11 @@
 """The own days under deploy/days together bring about each trouble of the control side that they are for."""
 
 import tomllib
-from pathlib import Path
 
 import pytest
+from paths import ROOT
 
-FOLDER = Path(__file__).parent.parent / "deploy" / "days"
+FOLDER = ROOT / "deploy" / "days"
 FILES = sorted(FOLDER.glob("*.toml"))
 # A kind, and the words that one entry's `how` must hold together.
 WANTED = [
--- a/tests/test_packaging.py
+++ b/tests/test_packaging.py
@@ -1,9 +1,7 @@
 """What is packaged and declared: every package, every library that the programs import, the deploy file."""
 
 import tomllib
-from pathlib import Path
-
-ROOT = Path(__file__).parent.parent
+from paths import ROOT
 
 
 def pinned(name):
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -28,8 +28,8 @@
 from hopsail.model import MS, SECOND
 from hopsail.net.loop import Loop
 from hopsail.net.stream import Stream
+from paths import ROOT
 
-ROOT = Path(__file__).parent.parent
 TREE = {
     "fleet": {"balancers": 2, "caches": 4, "zones": 2},
     "cache": {"service": "2 ms", "cores": 2, "keeps": 200, "law": "fixed"},
--- a/tests/test_safety_page.py
+++ b/tests/test_safety_page.py
@@ -2,11 +2,10 @@
 
 import re
 from functools import cache
-from pathlib import Path
 
 import pytest
+from paths import ROOT, TESTS
 
-ROOT = Path(__file__).parent.parent
 PAGE = (ROOT / "docs" / "control-safety.md").read_text()
 RULES = PAGE[PAGE.index("## The rules of both pages") :]
 DEFINED = r"(?:def|class) {}\b|^{} ="
@@ -17,6 +16,12 @@
     return (ROOT / path).read_text()
 
 
+def path_of_test(name):
+    """The path of the one test file with this name, in whichever folder of the tests it is."""
+    (found,) = TESTS.rglob(name)
+    return found.relative_to(ROOT)
+
+
 def named_tests():
     """(file, test) as the rules' tables name them; a test without a file is in the file named before it."""
     found, file = set(), None
@@ -40,7 +45,7 @@
 
 @pytest.mark.parametrize(("file", "test"), named_tests())
 def test_a_test_that_is_named_exists(file, test):
-    assert re.search(rf"def {test}\(", text_of(f"tests/{file}"))
+    assert re.search(rf"def {test}\(", text_of(path_of_test(file)))
 
 
 @pytest.mark.parametrize(("file", "name"), named_code())
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -21,9 +21,9 @@
 from hopsail.soak.shape import Shape, ShapeError, check_memory, memory_mb, shape_of
 from hopsail.standins.records import Journal, Rule, Run, Try, Violation
 from hopsail.standins.settings import BOUNDS
+from paths import ROOT
 
 MS, SECOND = 1_000_000, 1_000_000_000
-ROOT = Path(__file__).parent.parent
 SHAPE = Shape(3, 3, 3)
 EDGE, HOST, AT = "127.0.0.100", "i-1", 100 * SECOND
 
