--- a/hopsail/http/request_parser.py
+++ b/hopsail/http/request_parser.py
@@ -6,6 +6,7 @@
 
 import httptools
 
+from ..errors import HopsailError
 from .limits import ServerLimits
 from .message import Request
 
@@ -14,7 +15,7 @@
 HEAD_TOO_LARGE = 431
 
 
-class RequestError(Exception):
+class RequestError(HopsailError):
     """A message that can't be parsed (400), or is longer than allowed (413, 431)."""
 
     def __init__(self, status: int):
--- a/hopsail/process.py
+++ b/hopsail/process.py
@@ -12,6 +12,7 @@
 from .configuration.codes import ResultCode, SettingsError
 from .configuration.needs import missing_settings
 from .configuration.process import ProcessSettings, parse_settings
+from .errors import HopsailError
 from .membership.node import Membership
 from .net.counters import Counters
 from .net.log import say
@@ -36,7 +37,7 @@
     return parse_settings(text)
 
 
-class StartError(Exception):
+class StartError(HopsailError):
     """The program cannot start, for a reason that is not the settings'."""
 
 
--- a/hopsail/rpc/errors.py
+++ b/hopsail/rpc/errors.py
@@ -1,11 +1,13 @@
 """What can go wrong with a frame or a call."""
 
+from ..errors import HopsailError
 
-class FrameError(Exception):
+
+class FrameError(HopsailError):
     """Bytes that are not a frame, a message or a struct of the expected kind."""
 
 
-class CallError(Exception):
+class CallError(HopsailError):
     """A call that brought no reply. `str()` tells the reason."""
 
 
