--- a/hopsail/__main__.py
+++ b/hopsail/__main__.py
@@ -64,7 +64,7 @@
         self.listener.hold(waits > 0)
         self.peers = None
         if settings.view is not None:
-            from .peers.node import Peers  # only here: what is off costs nothing
+            from .swim.node import Peers  # only here: what is off costs nothing
 
             many, seed = settings.settings.balancers, settings.seed
             self.peers = Peers(self.loop, settings.view, many, seed, self.door.dealt)
--- a/hopsail/cli.py
+++ b/hopsail/cli.py
@@ -83,7 +83,7 @@
 
 def say_bounds(read):
     """What follows from the settings of the fleet's view, for as many balancers as the settings count."""
-    from .peers.rules import bounds
+    from .swim.settings import bounds
 
     found = {name: time / 1e9 for name, time in bounds(read.view, read.settings.balancers).items()}
     click.echo(f"peers: {read.settings.balancers} balancers; a crash is seen within {found['detect']:.1f} s, "
@@ -102,7 +102,7 @@
 @click.option("--seed", default=1, show_default=True, type=click.IntRange(0))
 def membership(quick, seed):
     """Faults between balancers that keep a view of the fleet. Status 1 when a view was wrong too long."""
-    from .peers import study as measure
+    from .swim import study as measure
 
     found = measure.membership(seed, quick)
     click.echo(json.dumps(found))
--- a/hopsail/config.py
+++ b/hopsail/config.py
@@ -193,7 +193,7 @@
     if tree.get("view") is None:
         return None
     found = part(tree, "view", dict)
-    from .peers import rules
+    from .swim import settings as rules
 
     if find_spec("msgpack") is None:
         raise ConfigFault("view needs the library msgpack: pip install hopsail[peers]")
--- a/hopsail/emulator/scenario.py
+++ b/hopsail/emulator/scenario.py
@@ -143,7 +143,7 @@
 
 @dataclass(frozen=True)
 class View:
-    """Parts of what balancers share, dealt by stewards as leases (`hopsail/peers/parts.py`)."""
+    """Parts of what balancers share, dealt by stewards as leases (`hopsail/swim/quota_leases.py`)."""
 
     stewards: int = known(whole(0, 9), 0)  # the first so many balancers; 0 = each has its equal part
     lease: int = known(span, 6_000_000_000)
--- a/hopsail/emulator/world.py
+++ b/hopsail/emulator/world.py
@@ -22,8 +22,8 @@
     State,
 )
 from ..model import Subscribe, Track, WakeAt
-from ..peers.parts import Holder, Steward, deal
-from ..peers.rules import Rules as Leases
+from ..swim.quota_leases import Holder, Steward, deal
+from ..swim.settings import Rules as Leases
 from ..storms import Rules
 from .clock import ANSWER, ARRIVAL, LIST, SAMPLE, TIMER, TROUBLE, Clock
 from .hosts import Host
--- a/hopsail/load/mesh.py
+++ b/hopsail/load/mesh.py
@@ -2,7 +2,7 @@
 
 Each member reaches the others at a socket of the hub's, which carries datagrams on from the sender's own:
 later, twice, spoilt, or not at all, as it is told for each way. It answers the same words as the simulated
-fleet (`peers/sim.py`), so that one player and one judge serve both. What members show is asked at their
+fleet (`swim/simulation.py`), so that one player and one judge serve both. What members show is asked at their
 operators' doors."""
 
 import json
@@ -19,8 +19,8 @@
 from ..model import MS, SECOND
 from ..net.loop import READ, Loop
 from ..net.stream import Stream, dial
-from ..peers.faults import spoilt
-from ..peers.rules import Rules, bounds
+from ..swim.faults import spoilt
+from ..swim.settings import Rules, bounds
 from .ports import free_address
 from .processes import ROOT, RigFault
 from .scripted import SETTINGS, instance, update
--- a/hopsail/membership/identity.py
+++ b/hopsail/membership/identity.py
@@ -11,7 +11,7 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from ..peers.rules import LONGEST_NAME
+from ..swim.settings import LONGEST_NAME
 
 SEPARATOR = "|"
 ZONE_MARK = "%"  # stands for the zone's name inside the node's name
--- a/hopsail/membership/node.py
+++ b/hopsail/membership/node.py
@@ -1,4 +1,4 @@
-"""One process's membership on its loop: one UDP socket, one timer, and the pure core of `hopsail/peers`.
+"""One process's membership on its loop: one UDP socket, one timer, and the pure core of `hopsail/swim`.
 
 Life numbers come from the clock of this process's start, in microseconds, since data planes have no disk.
 When the clock was stepped back, the others answer with the later life that they know, and the core takes one
@@ -13,9 +13,9 @@
 from typing import NamedTuple
 
 from ..net.loop import READ
-from ..peers.core import Core
-from ..peers.rules import MOST_SEEDS, MS, SECOND, Rules
-from ..peers.wire import Status
+from ..swim.protocol import Core
+from ..swim.settings import MOST_SEEDS, MS, SECOND, Rules
+from ..swim.wire import Status
 from .identity import Identity, decode, encode
 
 Address = tuple[str, int]
--- a/hopsail/net/door.py
+++ b/hopsail/net/door.py
@@ -91,7 +91,7 @@
 
     def dealt(self, part):
         """This balancer's part of what all share is another from now on."""
-        from ..peers.parts import deal  # only who has peers comes here
+        from ..swim.quota_leases import deal  # only who has peers comes here
 
         deal(self.balancer, self.loop.now(), part)
 
--- a/hopsail/peers/heartbeat.py
+++ b/hopsail/swim/heartbeat.py
@@ -2,7 +2,7 @@
 
 News of members and their identity are the core's; probes, helpers, doubts and defences are not used."""
 
-from .core import GONE, Core
+from .protocol import GONE, Core
 from .wire import PAD, Kind
 
 SILENT = 5  # periods with no word from a member, until it is taken for gone
--- a/hopsail/peers/life.py
+++ b/hopsail/swim/incarnation.py
@@ -5,7 +5,7 @@
 from hashlib import blake2b
 from pathlib import Path
 
-from .rules import MOST_SEEDS
+from .settings import MOST_SEEDS
 from .wire import MOST
 
 FORM = 1
--- a/hopsail/peers/node.py
+++ b/hopsail/swim/node.py
@@ -8,9 +8,9 @@
 from ..model import SECOND
 from ..net.log import say
 from ..net.loop import READ
-from .core import Core
-from .life import Life
-from .rules import MOST_SIZE
+from .protocol import Core
+from .incarnation import Life
+from .settings import MOST_SIZE
 
 MOST_AT_ONCE = 64  # datagrams read in a round: clients must have their turn
 KEEP_EVERY = 10 * SECOND  # writes where members are, for the next life
--- a/hopsail/peers/core.py
+++ b/hopsail/swim/protocol.py
@@ -12,8 +12,8 @@
 from math import ceil, log2
 from zlib import crc32
 
-from .parts import Holder, Steward
-from .rules import AWARE_MOST, DOUBTS, HELPERS, MOST_MEMBERS, NEWS_TIMES, RETRY, spread, suspicion
+from .quota_leases import Holder, Steward
+from .settings import AWARE_MOST, DOUBTS, HELPERS, MOST_MEMBERS, NEWS_TIMES, RETRY, spread, suspicion
 from .wire import MOST, PAD, Codec, Entry, Kind, Refused, Status, Window, packed
 
 ALIVE, SUSPECT, GONE, LEFT = Status
--- a/hopsail/peers/parts.py
+++ b/hopsail/swim/quota_leases.py
@@ -12,7 +12,7 @@
 
 With no steward named, each balancer has its equal part, as without peers."""
 
-from .rules import DRIFT, RESERVE
+from .settings import DRIFT, RESERVE
 
 WHOLE = 1_000_000_000  # a whole in the units that are dealt: integers, whose sums are exact
 ASKS = 3  # times that a holder asks within the life of a part
--- a/hopsail/peers/sim.py
+++ b/hopsail/swim/simulation.py
@@ -5,9 +5,9 @@
 from random import Random
 
 from ..model import MS, SECOND
-from .core import Core
+from .protocol import Core
 from .faults import spoilt
-from .rules import Rules, bounds
+from .settings import Rules, bounds
 
 KEY = bytes(range(32))
 STORM = 100  # datagrams a member each period, on the mean: calm fleets send less than ten
--- a/hopsail/peers/study.py
+++ b/hopsail/swim/study.py
@@ -6,9 +6,9 @@
 from time import monotonic
 
 from . import faults
-from .core import Core
+from .protocol import Core
 from .heartbeat import Heartbeat
-from .sim import Sim
+from .simulation import Sim
 
 QUICK, FULL = 30.0, 240.0  # seconds of faults on processes
 LOSSES = (0.0, 0.05, 0.2)
--- a/hopsail/peers/wire.py
+++ b/hopsail/swim/wire.py
@@ -12,7 +12,7 @@
 
 import msgpack
 
-from .rules import LONGEST_NAME
+from .settings import LONGEST_NAME
 
 FORM = 1
 SIGNATURE, TAG = 16, 4
--- a/tests/golden/test_golden_swim.py
+++ b/tests/golden/test_golden_swim.py
@@ -14,14 +14,14 @@
 
 from hopsail.membership import Membership, node
 from hopsail.membership.identity import Identity, decode, encode
-from hopsail.peers import faults
-from hopsail.peers.core import Core
-from hopsail.peers.heartbeat import Heartbeat
-from hopsail.peers.life import Life
-from hopsail.peers.parts import Holder, Steward
-from hopsail.peers.rules import MS, SECOND, Rules
-from hopsail.peers.sim import Sim
-from hopsail.peers.wire import PAD, Codec, Entry, Kind, Status, packed
+from hopsail.swim import faults
+from hopsail.swim.protocol import Core
+from hopsail.swim.heartbeat import Heartbeat
+from hopsail.swim.incarnation import Life
+from hopsail.swim.quota_leases import Holder, Steward
+from hopsail.swim.settings import MS, SECOND, Rules
+from hopsail.swim.simulation import Sim
+from hopsail.swim.wire import PAD, Codec, Entry, Kind, Status, packed
 
 DATA = Path(__file__).parents[1] / "data" / "golden" / "swim"
 KEY = bytes(range(32))
--- a/tests/membership_world.py
+++ b/tests/membership_world.py
@@ -3,7 +3,7 @@
 from heapq import heappop, heappush
 from itertools import count
 
-from hopsail.peers.rules import MS, SECOND
+from hopsail.swim.settings import MS, SECOND
 
 START = 1_700_000_000 * SECOND
 
--- a/tests/test_compare.py
+++ b/tests/test_compare.py
@@ -24,7 +24,7 @@
     package.mkdir(parents=True)
     for path in compare.PACKAGE.glob("*.py"):
         (package / path.name).write_text(path.read_text())
-    for folder in ("emulator", "peers", "storms"):
+    for folder in ("emulator", "swim", "storms"):
         (package / folder).mkdir()
         for path in (compare.PACKAGE / folder).glob("*.py"):
             (package / folder / path.name).write_text(path.read_text())
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -9,8 +9,8 @@
 
 from hopsail.membership import Membership, node
 from hopsail.membership.identity import HASH_MARK, Identity, decode, encode
-from hopsail.peers.rules import LONGEST_NAME, MS, SECOND
-from hopsail.peers.sim import Sim
+from hopsail.swim.settings import LONGEST_NAME, MS, SECOND
+from hopsail.swim.simulation import Sim
 
 HEARTBEAT = 1200 * MS
 PORT = 7640
--- a/tests/test_mesh.py
+++ b/tests/test_mesh.py
@@ -9,7 +9,7 @@
 
 from hopsail.load.mesh import Mesh
 from hopsail.load.scripted import SETTINGS
-from hopsail.peers import faults
+from hopsail.swim import faults
 
 KINDS = (
     "kill",
@@ -116,7 +116,7 @@
     path.write_text(json.dumps(tree))
     code = ("import sys, hopsail.__main__ as m; from hopsail.net.operator import Desk, CallFault\n"
             "node = m.Node({'NODE_CONFIG': sys.argv[1]})\n"
-            "assert not [n for n in sys.modules if 'peers' in n or 'msgpack' in n]\n"
+            "assert not [n for n in sys.modules if 'hopsail.swim' in n or 'msgpack' in n]\n"
             "try: Desk(node).show_fleet()\nexcept CallFault as fault: print(fault)\n")  # fmt: skip
     done = subprocess.run([sys.executable, "-c", code, str(path)], capture_output=True, text=True, timeout=30,
                           env=os.environ | {"PYTHONPATH": os.pathsep.join(sys.path)})  # fmt: skip
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,14 +10,15 @@
 
 from hopsail.model import SECOND
 from hopsail.net.discovery import address
-from hopsail.peers import core as core_module
-from hopsail.peers import faults, rules
-from hopsail.peers.core import Core
-from hopsail.peers.life import Life
-from hopsail.peers.parts import WHOLE, Holder, Steward
-from hopsail.peers.rules import DRIFT, Rules, RulesFault
-from hopsail.peers.sim import KEY, Sim, StormFault
-from hopsail.peers.wire import HEAD, PAD, Codec, Entry, Kind, Refused, Status, Window
+from hopsail.swim import protocol as core_module
+from hopsail.swim import faults
+from hopsail.swim import settings as rules
+from hopsail.swim.protocol import Core
+from hopsail.swim.incarnation import Life
+from hopsail.swim.quota_leases import WHOLE, Holder, Steward
+from hopsail.swim.settings import DRIFT, Rules, RulesFault
+from hopsail.swim.simulation import KEY, Sim, StormFault
+from hopsail.swim.wire import HEAD, PAD, Codec, Entry, Kind, Refused, Status, Window
 
 PLACE, ELSE = ("10.0.0.1", 7000), ("10.0.0.1", 7001)
 
@@ -458,8 +459,8 @@
     old, new = CHANGES[name]
     text = Path(core_module.__file__).read_text()
     assert text.count(old) == 1, "the part that this change takes out is written otherwise now"
-    changed = types.ModuleType("hopsail.peers.changed")
-    changed.__package__ = "hopsail.peers"
+    changed = types.ModuleType("hopsail.swim.changed")
+    changed.__package__ = "hopsail.swim"
     sys.modules[changed.__name__] = changed
     exec(compile(text.replace(old, new), "changed core", "exec"), changed.__dict__)
     for check in CHECKS:
