--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 # Each target works on a fresh checkout; each environment is made anew when its requirements change.
 
-.PHONY: build try system soak test lint run clean
+.PHONY: build try system versions soak test lint run clean
 
 build: .venv/ready
 
@@ -34,6 +34,12 @@
 system: .venv-system/ready
 	$(if $(SECONDS_TO_RUN),timeout -s INT $$(($(SECONDS_TO_RUN) + 30))) .venv-system/bin/python -B -m hopsail.standins.fleet $(if $(SECONDS_TO_RUN),--seconds $(SECONDS_TO_RUN))
 
+# Two versions of the programs in one fleet: EARLIER=revision make versions.
+versions: .venv-system/ready
+	rm -rf target/earlier && mkdir -p target/earlier
+	git archive $(EARLIER) hopsail | tar -x -C target/earlier
+	.venv-system/bin/python -B -m hopsail.standins.two_versions target/earlier
+
 # A soak of the router fleet: SEED=n SECONDS_TO_RUN=n PROCESSES=n make soak. See docs/soak.md.
 soak: .venv-system/ready
 	.venv-system/bin/python -B -m hopsail.soak $(if $(SEED),--seed $(SEED)) $(if $(SECONDS_TO_RUN),--seconds $(SECONDS_TO_RUN)) $(if $(PROCESSES),--processes $(PROCESSES))
--- a/hopsail/standins/processes.py
+++ b/hopsail/standins/processes.py
@@ -15,10 +15,11 @@
 
 
 class Process:
-    """One process of the system; its settings and its log are in `folder`."""
+    """One process of the system; its settings and its log are in `folder`, its program's text in `root`."""
 
     def __init__(self, machine: Machine, around: Surroundings, folder: Path):
         self.machine, self.around = machine, around
+        self.root = ROOT
         self.settings = folder / f"{machine.name}.conf"
         self.log = folder / f"{machine.name}.log"
         self.child: subprocess.Popen | None = None
@@ -30,14 +31,14 @@
         self.machine.bootstrap, self.killed = False, False
         environment = {
             "PATH": os.environ.get("PATH", ""),
-            "PYTHONPATH": str(ROOT),
+            "PYTHONPATH": str(self.root),
             "HOPSAIL_CONFIG": str(self.settings),
         }
         program = PROGRAMS[self.machine.machine_class == EDGE]
         with self.log.open("ab") as log:
             self.child = subprocess.Popen(
                 [sys.executable, "-B", "-m", program],
-                cwd=ROOT,
+                cwd=self.root,
                 env=environment,
                 stdin=subprocess.DEVNULL,
                 stdout=log,
