--- a/hopsail/controlplane/platform_list.py
+++ b/hopsail/controlplane/platform_list.py
@@ -6,7 +6,7 @@
 from ..feed.journal import Journal
 from ..feed.topics import Topic
 from ..hosts.instance import Instance, InstanceError, decode, encode
-from ..hosts.listing import Complete, ListingReader, Next
+from ..hosts.listing import Complete, ListingReader, NextPage
 from ..hosts.polling import ListingRules, ListingSchedule
 from ..hosts.view import HostView
 from ..http.client import HttpClient
@@ -43,10 +43,10 @@
             self.forgotten_at = now
             with self.journal.batch():
                 self._forget()
-        if self.address is None or self.reader.reading:
+        if self.address is None or self.reader.in_progress:
             return
         if self.schedule.next_due(now, self.is_reader(), self.freshest) <= now:
-            self.schedule.started(now)
+            self.schedule.record_start(now)
             self._ask(self.reader.start())
 
     def _ask(self, path: str) -> None:
@@ -55,11 +55,13 @@
 
     def _answered(self, response) -> None:
         now = self.loop.now()
-        step = self.reader.page(response.status if response else 0, response.body if response else b"")
-        if isinstance(step, Next):
+        step = self.reader.receive_page(
+            response.status if response else 0, response.body if response else b""
+        )
+        if isinstance(step, NextPage):
             self._ask(step.path)
         elif isinstance(step, Complete):
-            self.schedule.succeeded(now, step.pages)
+            self.schedule.record_success(now, step.pages)
             self.freshest = now
             self.readings += 1
             with self.journal.batch():
@@ -68,7 +70,7 @@
                 self.journal.set(Topic.LISTING, self.node, str(self.readings).encode())
         else:
             self.counters.add("platform.failures")
-            self.schedule.failed(now)
+            self.schedule.record_failure(now)
 
     def told(self, change) -> None:
         """News from another control process."""
--- a/hopsail/dataplane/placement.py
+++ b/hopsail/dataplane/placement.py
@@ -114,7 +114,7 @@
         gone = []
         live: dict[str, list[Instance]] = {}
         for instance in self.view.instances.values():
-            if instance.phase is not Phase.GONE:
+            if instance.phase is not Phase.REMOVED:
                 live.setdefault(instance.service, []).append(instance)
         for name in set(self.services) | set(live):
             service = self.services.get(name)
--- a/hopsail/dataplane/view.py
+++ b/hopsail/dataplane/view.py
@@ -47,7 +47,7 @@
     @property
     def ready(self) -> bool:
         """A configuration and a list of hosts are there."""
-        return self.table is not None and any(i.phase is not Phase.GONE for i in self.instances.values())
+        return self.table is not None and any(i.phase is not Phase.REMOVED for i in self.instances.values())
 
     def apply(self, now: int, source: str, state: dict, changes) -> None:
         """Takes one batch of a feed: `state` is all that the feed holds with the batch in it."""
@@ -106,7 +106,7 @@
         if merged == known:
             return False
         self.instances[told.identifier] = merged
-        if merged.phase is Phase.GONE and told.identifier not in self.gone:
+        if merged.phase is Phase.REMOVED and told.identifier not in self.gone:
             self.kept.forget_host(told.identifier)
             self._note_gone(told.identifier)
         return known is None or _place_of(known) != _place_of(merged)
--- a/hopsail/hosts/instance.py
+++ b/hopsail/hosts/instance.py
@@ -1,7 +1,7 @@
-"""One incarnation of a host, as the platform lists it, and the monotone join of two accounts of it.
+"""One incarnation of a host, as the platform lists it, and the monotone join of two states of it.
 
 Every start of a host has an identifier of its own, so an instance only ever moves forward: from serving to
-draining to gone, and to higher revisions of its models.
+draining to removed, and to higher revisions of its models.
 """
 
 import json
@@ -10,12 +10,13 @@
 from typing import Any, NamedTuple
 
 from hopsail.configuration.process import Address
+from hopsail.errors import HopsailError
 
 MAX_PORT = 65535
 MAX_MODELS = 64
 
 
-class InstanceError(ValueError):
+class InstanceError(HopsailError, ValueError):
     """The entry is not shaped as an instance of the list."""
 
 
@@ -24,7 +25,7 @@
 
     SERVING = 0
     DRAINING = 1
-    GONE = 2
+    REMOVED = 2
 
 
 class ModelRevision(NamedTuple):
@@ -52,17 +53,17 @@
     revision: str
 
     def model_revision(self, model: str) -> int | None:
-        """Return the revision of the weights held for `model`, None when the host does not run it."""
-        for held in self.models:
-            if held.name == model:
-                return held.revision
+        """Return the revision of the weights loaded for `model`, None when the host does not run it."""
+        for loaded in self.models:
+            if loaded.name == model:
+                return loaded.revision
         return None
 
     def load_key(self, model: str) -> str:
-        """Return the key of what is announced of the model's load here.
+        """Return the key under which the load of the model's weights on this host is announced.
 
-        It is the name of a host that runs one model, as for processes that know no other key, and holds the
-        model's name besides where there are several: each has its own roll-out.
+        It is the host's identifier where the host runs one model, and the identifier and the model's name
+        where it runs several, because each model has a roll-out of its own.
         """
         return self.identifier if len(self.models) <= 1 else f"{self.identifier} {model}"
 
@@ -71,14 +72,15 @@
         return replace(self, phase=phase)
 
 
-_PHASES = {"serving": Phase.SERVING, "draining": Phase.DRAINING, "gone": Phase.GONE}
+_PHASES = {"serving": Phase.SERVING, "draining": Phase.DRAINING, "gone": Phase.REMOVED}
 _PHASE_NAMES = {phase: name for name, phase in _PHASES.items()}
 
 
-def parse_instance(entry: Any) -> Instance:
-    """Read one entry of the platform's list; raises `InstanceError` when it has the wrong shape.
+def parse_instance(entry: object) -> Instance:
+    """Read one entry of the platform's list, as parsed JSON. Unknown fields are ignored.
 
-    Fields that are not known are ignored.
+    Raises:
+        InstanceError: the entry has the wrong shape.
     """
     if not isinstance(entry, dict):
         raise InstanceError("an instance is not an object")
@@ -96,7 +98,11 @@
 
 
 def parse_address(text: str) -> Address:
-    """Read `HOST:PORT`; raises `InstanceError`."""
+    """Read `HOST:PORT`.
+
+    Raises:
+        InstanceError: the text has another form, or the port is out of range.
+    """
     host, colon, port = text.rpartition(":")
     if not (host and colon and port.isascii() and port.isdigit()):
         raise InstanceError("an address is not HOST:PORT")
@@ -116,14 +122,18 @@
         "Capacity": instance.capacity,
         "Phase": _PHASE_NAMES[instance.phase],
         "WarmupLeftMs": instance.warmup_left_ms,
-        "Models": [{"Name": held.name, "Revision": held.revision} for held in instance.models],
+        "Models": [{"Name": model.name, "Revision": model.revision} for model in instance.models],
         "Revision": instance.revision,
     }
     return json.dumps(entry, separators=(",", ":")).encode()
 
 
 def decode(data: bytes) -> Instance:
-    """Read what `encode` wrote; raises `InstanceError`."""
+    """Read what `encode` wrote.
+
+    Raises:
+        InstanceError: the bytes are not an encoded instance.
+    """
     try:
         entry = json.loads(data)
     except (ValueError, RecursionError) as error:
@@ -132,10 +142,13 @@
 
 
 def merge(a: Instance, b: Instance) -> Instance:
-    """Join two accounts of the same instance: commutative, associative and idempotent.
+    """Join two states of the same instance: commutative, associative and idempotent.
+
+    The later phase and the higher revision of each model win. Of a field that can't change within one
+    incarnation the higher value is taken, so that the result does not depend on the order.
 
-    The later phase and the higher revision of each model win. What can't change within one incarnation is
-    taken from whichever account compares higher, so that the result does not depend on the order.
+    Raises:
+        InstanceError: the instances have different identifiers.
     """
     if a is b or a == b:
         return a
@@ -163,14 +176,14 @@
     return tuple(ModelRevision(name, highest[name]) for name in sorted(highest))
 
 
-def _text(entry: dict, name: str) -> str:
+def _text(entry: dict[str, Any], name: str) -> str:
     value = entry.get(name)
     if not isinstance(value, str) or not value:
         raise InstanceError(f"{name} is not a text")
     return value
 
 
-def _count(entry: dict, name: str) -> int:
+def _count(entry: dict[str, Any], name: str) -> int:
     value = entry.get(name)
     if isinstance(value, float) and 0 <= value < 1 << 53:
         value = int(value)
@@ -179,14 +192,14 @@
     return value
 
 
-def _phase(entry: dict) -> Phase:
+def _phase(entry: dict[str, Any]) -> Phase:
     name = entry.get("Phase")
     if not isinstance(name, str) or name not in _PHASES:
         raise InstanceError("Phase is not known")
     return _PHASES[name]
 
 
-def _models(entries: Any) -> tuple[ModelRevision, ...]:
+def _models(entries: object) -> tuple[ModelRevision, ...]:
     if not isinstance(entries, list) or len(entries) > MAX_MODELS:
         raise InstanceError("Models is not a list of bounded length")
     if len(entries) == 1:
@@ -194,7 +207,7 @@
     return _join_models((), tuple(_model(entry) for entry in entries))
 
 
-def _model(entry: Any) -> ModelRevision:
+def _model(entry: object) -> ModelRevision:
     if not isinstance(entry, dict):
         raise InstanceError("a model is not an object")
     return ModelRevision(_text(entry, "Name"), _count(entry, "Revision"))
--- a/hopsail/hosts/listing.py
+++ b/hopsail/hosts/listing.py
@@ -1,4 +1,4 @@
-"""Reading of all pages of the platform's list, as a state machine without I/O."""
+"""Pagination through the platform's list of hosts, as a state machine without I/O."""
 
 import json
 from enum import Enum
@@ -15,7 +15,7 @@
 
 
 class FailureReason(Enum):
-    """Why a reading of the list failed."""
+    """Why a listing failed."""
 
     RATE_EXCEEDED = "the platform answered 429"
     STATUS = "the platform did not answer 200"
@@ -23,21 +23,21 @@
     PAGES = "there are too many pages, or they go in a circle"
 
 
-class Next(NamedTuple):
-    """The next page to ask for."""
+class NextPage(NamedTuple):
+    """The next page to request."""
 
     path: str
 
 
 class Complete(NamedTuple):
-    """All pages were read."""
+    """All pages were received."""
 
     instances: list[Instance]
     pages: int
 
 
 class Failed(NamedTuple):
-    """This reading has failed; a later one starts afresh."""
+    """This listing has failed; a later one starts afresh."""
 
     reason: FailureReason
 
@@ -48,31 +48,36 @@
 
 
 class ListingReader:
-    """Reads the pages of `GET /instances`; `start` begins a reading and drops one that was under way."""
+    """Collects the pages of `GET /instances`; `start` begins a listing and drops one that was in progress."""
 
     def __init__(self, max_pages: int = MAX_PAGES) -> None:
+        """Create a reader that fails a listing of more than `max_pages` pages."""
         self._max_pages = max_pages
         self._instances: dict[str, Instance] = {}
         self._tokens: set[str] = set()
         self._pages = 0
-        self._reading = False
+        self._in_progress = False
 
     @property
-    def reading(self) -> bool:
+    def in_progress(self) -> bool:
         """Whether a page is awaited."""
-        return self._reading
+        return self._in_progress
 
     def start(self) -> str:
-        """Begin a reading and return the path of its first page."""
+        """Begin a listing and return the path of its first page."""
         self._instances = {}
         self._tokens = set()
         self._pages = 0
-        self._reading = True
+        self._in_progress = True
         return LIST_PATH
 
-    def page(self, status: int, body: bytes) -> Next | Complete | Failed:
-        """Take the answer for the page asked for last."""
-        if not self._reading:
+    def receive_page(self, status: int, body: bytes) -> NextPage | Complete | Failed:
+        """Process the response for the page requested last.
+
+        Raises:
+            RuntimeError: no page is awaited.
+        """
+        if not self._in_progress:
             raise RuntimeError("no page is awaited")
         if status == STATUS_RATE_EXCEEDED:
             return self._fail(FailureReason.RATE_EXCEEDED)
@@ -82,23 +87,23 @@
             page = _parse_page(body)
         except InstanceError:
             return self._fail(FailureReason.SHAPE)
-        return self._take(page)
+        return self._add_page(page)
 
-    def _take(self, page: _Page) -> Next | Complete | Failed:
+    def _add_page(self, page: _Page) -> NextPage | Complete | Failed:
         self._pages += 1
         for instance in page.instances:
             earlier = self._instances.get(instance.identifier)
             self._instances[instance.identifier] = merge(earlier, instance) if earlier else instance
         if page.next_token is None:
-            self._reading = False
+            self._in_progress = False
             return Complete(list(self._instances.values()), self._pages)
         if self._pages >= self._max_pages or page.next_token in self._tokens:
             return self._fail(FailureReason.PAGES)
         self._tokens.add(page.next_token)
-        return Next(f"{LIST_PATH}?PageToken={quote(page.next_token, safe='')}")
+        return NextPage(f"{LIST_PATH}?PageToken={quote(page.next_token, safe='')}")
 
     def _fail(self, reason: FailureReason) -> Failed:
-        self._reading = False
+        self._in_progress = False
         self._instances = {}
         return Failed(reason)
 
--- a/hopsail/hosts/polling.py
+++ b/hopsail/hosts/polling.py
@@ -1,8 +1,8 @@
-"""When this process reads the platform's list.
+"""When this process requests the platform's list.
 
-One process, the designated reader, reads it at every period and tells the others. Any other reads it only
-when it has heard nothing fresh for some time. The calls of all processes together stay below the platform's
-rate.
+One process, the designated reader, requests it once per period and sends the others what has changed. Any
+other requests it only when it has received nothing fresh for some time. The calls of all processes together
+stay below the platform's rate limit.
 """
 
 import random
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListingRules:
-    """Times in nanoseconds; `rate_per_s` is the platform's rate for the calls of all processes together."""
+    """Intervals in nanoseconds; `rate_per_s` is the platform's rate limit for all processes together."""
 
     period_ns: int = 700 * NS_PER_MS
     stale_after_ns: int = 1_600 * NS_PER_MS
@@ -26,9 +26,10 @@
 
 
 class ListingSchedule:
-    """Decides when the next reading is due; told of readings by `started`, `succeeded` and `failed`."""
+    """Decides when the next listing is due, given what the `record_…` methods are told of earlier ones."""
 
     def __init__(self, processes: int, rng: random.Random, rules: ListingRules | None = None) -> None:
+        """Create the schedule of one of `processes` processes; `rng` draws its jitter."""
         self._rules = rules or ListingRules()
         self._rng = rng
         self._processes = max(1, processes)
@@ -36,7 +37,7 @@
         self._failures = 0
         self._not_before = 0
         self._started_at: int | None = None
-        self._first_asked: int | None = None
+        self._first_request_at: int | None = None
         self._spread = rng.random()
 
     def set_processes(self, processes: int) -> None:
@@ -44,31 +45,31 @@
         self._processes = max(1, processes)
 
     def next_due(self, now: int, is_reader: bool, freshest: int | None) -> int:
-        """Return when the next reading is due (at or before `now`: at once).
+        """Return when the next listing is due (at or before `now`: at once).
 
-        `freshest` is when the newest complete reading known here, of any process, was made; None: never.
+        `freshest` is when the newest complete listing known here, of any process, was made; None: never.
         """
-        if self._first_asked is None:
-            self._first_asked = now
-        wanted = self._reader_due(now) if is_reader else self._follower_due(freshest)
-        return max(wanted, self._not_before, self._rate_due(is_reader))
+        if self._first_request_at is None:
+            self._first_request_at = now
+        due = self._reader_due(now) if is_reader else self._follower_due(freshest)
+        return max(due, self._not_before, self._rate_due(is_reader))
 
-    def started(self, now: int) -> None:
-        """A reading has begun."""
+    def record_start(self, now: int) -> None:
+        """Record that a listing has begun."""
         self._started_at = now
         self._spread = self._rng.random()
 
-    def succeeded(self, now: int, pages: int) -> None:
-        """The reading is complete; it took `pages` calls."""
+    def record_success(self, now: int, pages: int) -> None:
+        """Record that the listing is complete; it took `pages` calls."""
         self._pages = max(1, pages)
         self._failures = 0
         self._not_before = now
 
-    def failed(self, now: int) -> None:
-        """The reading has failed: rate exceeded, another status, no answer, or no list."""
-        longest = min(self._rules.max_retry_ns, self._rules.first_retry_ns << min(self._failures, 16))
+    def record_failure(self, now: int) -> None:
+        """Record that the listing failed: rate exceeded, another status, no response, or no list."""
+        max_backoff_ns = min(self._rules.max_retry_ns, self._rules.first_retry_ns << min(self._failures, 16))
         self._failures += 1
-        self._not_before = now + round(longest * (0.5 + 0.5 * self._rng.random()))
+        self._not_before = now + round(max_backoff_ns * (0.5 + 0.5 * self._rng.random()))
 
     def page_interval_ns(self, is_reader: bool) -> int:
         """Return the shortest time between two calls of this process."""
@@ -85,7 +86,7 @@
     def _follower_due(self, freshest: int | None) -> int:
         if freshest is None:
             start_up = self._spread * self._processes / self._rules.rate_per_s
-            return (self._first_asked or 0) + round(start_up * NS_PER_S)
+            return (self._first_request_at or 0) + round(start_up * NS_PER_S)
         return freshest + self._rules.stale_after_ns + round(self._spread * self._rules.spread_ns)
 
     def _rate_due(self, is_reader: bool) -> int:
--- a/hopsail/hosts/view.py
+++ b/hopsail/hosts/view.py
@@ -1,59 +1,61 @@
-"""What this process knows of the hosts, from readings of the platform's list and from other processes.
+"""All hosts known to this process, from its own listings and from updates of other processes.
 
-A wrong tombstone is costly: it spreads, and the host is unused until it is forgotten. Hence absence from the
-list counts only as far as the list can be trusted (see `HostView.apply_listing`).
+A wrong tombstone is costly: it is replicated, and the host is unused until the tombstone expires. Hence
+absence from a listing counts only as far as the listing can be trusted (see `HostView.apply_listing`).
 """
 
 from collections.abc import Iterable
 
-from hopsail.hosts.instance import Address, Instance, Phase, merge
+from hopsail.configuration.process import Address
+from hopsail.hosts.instance import Instance, Phase, merge
 
-FORGET_AFTER_NS = 120_000_000_000
-SETTLE_NS = 1_600_000_000
+TOMBSTONE_TTL_NS = 120_000_000_000
+MAX_LIST_LAG_NS = 1_600_000_000
 MAX_INSTANCES = 65_536
-EMPTY_READINGS_TRUSTED = 3
-ONE_PAGE_MISSES = 1
-MORE_MISSES = 2
+MIN_EMPTY_LISTINGS = 3
+MIN_MISSES_OF_ONE_PAGE = 1
+MIN_MISSES_OF_SEVERAL_PAGES = 2
 
 
 class _Entry:
-    """An instance with what this process's own readings say about it."""
+    """An instance with what this process's own listings say about it."""
 
-    __slots__ = ("instance", "known_since", "first_listed", "misses", "gone_at")
+    __slots__ = ("first_listed", "instance", "known_since", "misses", "removed_at")
 
     def __init__(self, instance: Instance, now: int) -> None:
         self.instance = instance
         self.known_since = now
         self.first_listed: int | None = None
         self.misses = 0
-        self.gone_at: int | None = None
+        self.removed_at: int | None = None
 
     @property
-    def gone(self) -> bool:
-        return self.instance.phase is Phase.GONE
+    def is_removed(self) -> bool:
+        return self.instance.phase is Phase.REMOVED
 
 
 class HostView:
     """All known instances by identifier, merged monotonically.
 
-    `forget_after_ns` is how long an instance that is gone is remembered. `settle_ns` covers the lag of the
-    list: an instance known for a shorter time is not declared gone because a reading lacks it.
+    A removed instance is retained as a tombstone for `tombstone_ttl_ns`. The platform's list may lag by up to
+    `list_lag_ns`: an instance known for a shorter time is not removed because a listing lacks it.
     """
 
     def __init__(
         self,
-        forget_after_ns: int = FORGET_AFTER_NS,
-        settle_ns: int = SETTLE_NS,
+        tombstone_ttl_ns: int = TOMBSTONE_TTL_NS,
+        list_lag_ns: int = MAX_LIST_LAG_NS,
         max_instances: int = MAX_INSTANCES,
     ) -> None:
-        self._forget_after_ns = forget_after_ns
-        self._settle_ns = settle_ns
+        """Create an empty view of at most `max_instances` instances, tombstones included."""
+        self._tombstone_ttl_ns = tombstone_ttl_ns
+        self._list_lag_ns = list_lag_ns
         self._max_instances = max_instances
         self._entries: dict[str, _Entry] = {}
         self._services: dict[str, dict[str, _Entry]] = {}
         self._tombstones: dict[str, int] = {}
-        self._readings = 0
-        self._empty_readings = 0
+        self._listings = 0
+        self._empty_listings = 0
 
     @property
     def instances(self) -> dict[str, Instance]:
@@ -66,58 +68,58 @@
         return entry.instance if entry else None
 
     def by_service(self, service: str) -> list[Instance]:
-        """Return the instances of a service that are not gone."""
+        """Return the instances of a service that are not removed."""
         entries = self._services.get(service, {}).values()
-        return [entry.instance for entry in entries if not entry.gone]
+        return [entry.instance for entry in entries if not entry.is_removed]
 
     def apply_listing(self, now: int, instances: Iterable[Instance], pages: int) -> list[Instance]:
-        """Take a complete reading of the list; return the instances that have changed.
+        """Apply a complete listing; return the instances that have changed.
 
-        An instance missing from a reading of one page is gone; for several pages, which may shift while they
-        are read, it must be missing twice in a row, as must one that only other processes have listed. An
-        empty reading counts only when it is the third in a row. Of two instances at one address, the one
-        listed by an earlier reading than the other is gone.
+        An instance missing from a listing of one page is removed; where there are several pages, which may
+        shift while they are requested, it must be missing twice in a row, as must one that only other
+        processes have listed. An empty listing counts only when it is the third in a row. Of two instances at
+        one address, the one first listed earlier is removed.
         """
         listed = list(instances)
-        if self._distrusts(listed):
+        if self._is_untrusted(listed):
             return []
-        self._readings += 1
+        self._listings += 1
         changed: dict[str, Instance] = {}
         for instance in listed:
-            self._list(now, instance, changed)
-        self._sweep_missing(now, {instance.identifier for instance in listed}, pages, changed)
-        self._sweep_addresses(now, changed)
-        self._forget(now)
+            self._apply_listed(now, instance, changed)
+        self._remove_missing(now, {instance.identifier for instance in listed}, pages, changed)
+        self._remove_replaced(now, changed)
+        self._expire_tombstones(now)
         return list(changed.values())
 
     def apply_instance(self, now: int, instance: Instance) -> list[Instance]:
-        """Take news of one instance from another process; return the instances that have changed."""
+        """Apply the update of one instance by another process; return the instances that have changed."""
         changed: dict[str, Instance] = {}
         self._merge(now, instance, changed)
-        self._forget(now)
+        self._expire_tombstones(now)
         return list(changed.values())
 
-    def _distrusts(self, listed: list[Instance]) -> bool:
+    def _is_untrusted(self, listed: list[Instance]) -> bool:
         if listed:
-            self._empty_readings = 0
+            self._empty_listings = 0
             return False
-        self._empty_readings += 1
-        return self._empty_readings < EMPTY_READINGS_TRUSTED
+        self._empty_listings += 1
+        return self._empty_listings < MIN_EMPTY_LISTINGS
 
-    def _list(self, now: int, instance: Instance, changed: dict[str, Instance]) -> None:
+    def _apply_listed(self, now: int, instance: Instance, changed: dict[str, Instance]) -> None:
         entry = self._merge(now, instance, changed)
         if entry is None:
             return
         entry.misses = 0
         if entry.first_listed is None:
-            entry.first_listed = self._readings
+            entry.first_listed = self._listings
 
     def _merge(self, now: int, instance: Instance, changed: dict[str, Instance]) -> _Entry | None:
         entry = self._entries.get(instance.identifier)
         if entry is None:
             return self._add(now, instance, changed)
         merged = merge(entry.instance, instance)
-        if _is_news(entry.instance, merged):
+        if _needs_update(entry.instance, merged):
             self._replace(now, entry, merged, changed)
         return entry
 
@@ -128,8 +130,8 @@
         self._entries[instance.identifier] = entry
         self._services.setdefault(instance.service, {})[instance.identifier] = entry
         changed[instance.identifier] = instance
-        if entry.gone:
-            self._bury(now, entry)
+        if entry.is_removed:
+            self._add_tombstone(now, entry)
         return entry
 
     def _replace(self, now: int, entry: _Entry, merged: Instance, changed: dict[str, Instance]) -> None:
@@ -138,56 +140,56 @@
             self._services.setdefault(merged.service, {})[merged.identifier] = entry
         entry.instance = merged
         changed[merged.identifier] = merged
-        if entry.gone and entry.gone_at is None:
-            self._bury(now, entry)
+        if entry.is_removed and entry.removed_at is None:
+            self._add_tombstone(now, entry)
 
-    def _bury(self, now: int, entry: _Entry) -> None:
-        entry.gone_at = now
+    def _add_tombstone(self, now: int, entry: _Entry) -> None:
+        entry.removed_at = now
         self._tombstones[entry.instance.identifier] = now
 
-    def _declare_gone(self, now: int, entry: _Entry, changed: dict[str, Instance]) -> None:
-        self._replace(now, entry, entry.instance.with_phase(Phase.GONE), changed)
+    def _mark_removed(self, now: int, entry: _Entry, changed: dict[str, Instance]) -> None:
+        self._replace(now, entry, entry.instance.with_phase(Phase.REMOVED), changed)
 
-    def _sweep_missing(self, now: int, listed: set[str], pages: int, changed: dict[str, Instance]) -> None:
+    def _remove_missing(self, now: int, listed: set[str], pages: int, changed: dict[str, Instance]) -> None:
         for identifier, entry in self._entries.items():
-            if identifier in listed or entry.gone:
+            if identifier in listed or entry.is_removed:
                 continue
             entry.misses += 1
             if self._is_missing(now, entry, pages):
-                self._declare_gone(now, entry, changed)
+                self._mark_removed(now, entry, changed)
 
     def _is_missing(self, now: int, entry: _Entry, pages: int) -> bool:
-        if now - entry.known_since < self._settle_ns:
+        if now - entry.known_since < self._list_lag_ns:
             return False
         certain = pages <= 1 and entry.first_listed is not None
-        return entry.misses >= (ONE_PAGE_MISSES if certain else MORE_MISSES)
+        return entry.misses >= (MIN_MISSES_OF_ONE_PAGE if certain else MIN_MISSES_OF_SEVERAL_PAGES)
 
-    def _sweep_addresses(self, now: int, changed: dict[str, Instance]) -> None:
+    def _remove_replaced(self, now: int, changed: dict[str, Instance]) -> None:
         latest: dict[Address, _Entry] = {}
         for entry in self._entries.values():
-            if entry.gone or entry.first_listed is None:
+            if entry.is_removed or entry.first_listed is None:
                 continue
             other = latest.setdefault(entry.instance.address, entry)
             if other.first_listed == entry.first_listed:
                 continue
             older, newer = sorted((other, entry), key=lambda one: one.first_listed or 0)
             latest[entry.instance.address] = newer
-            self._declare_gone(now, older, changed)
+            self._mark_removed(now, older, changed)
 
-    def _forget(self, now: int) -> None:
+    def _expire_tombstones(self, now: int) -> None:
         while self._tombstones:
-            identifier, gone_at = next(iter(self._tombstones.items()))
-            if now - gone_at < self._forget_after_ns:
+            identifier, removed_at = next(iter(self._tombstones.items()))
+            if now - removed_at < self._tombstone_ttl_ns:
                 return
-            self._remove(identifier)
+            self._drop(identifier)
 
     def _drop_oldest_tombstone(self) -> bool:
         if not self._tombstones:
             return False
-        self._remove(next(iter(self._tombstones)))
+        self._drop(next(iter(self._tombstones)))
         return True
 
-    def _remove(self, identifier: str) -> None:
+    def _drop(self, identifier: str) -> None:
         del self._tombstones[identifier]
         self._unlink(self._entries.pop(identifier))
 
@@ -198,8 +200,8 @@
             del self._services[entry.instance.service]
 
 
-def _is_news(old: Instance, merged: Instance) -> bool:
-    """Whether others need to hear of it: of the warm-up, which always falls, only when it has halved."""
+def _needs_update(old: Instance, merged: Instance) -> bool:
+    """Whether to notify others: of a falling warm-up alone, only when it has halved."""
     if old is merged or old == merged:
         return False
     if merged.warmup_left_ms * 2 <= old.warmup_left_ms and merged.warmup_left_ms != old.warmup_left_ms:
--- a/tests/golden/test_golden_hosts.py
+++ b/tests/golden/test_golden_hosts.py
@@ -96,7 +96,7 @@
 def view_history(seed):
     """What a view of drawn readings and updates has changed and holds after each."""
     draw = random.Random(seed)
-    view = HostView(max_instances=10, forget_after_ns=20_000 * MS)
+    view = HostView(max_instances=10, tombstone_ttl_ns=20_000 * MS)
     digest = hashlib.sha256()
     now = 0
     for _ in range(400):
@@ -151,7 +151,7 @@
         path = reader.start()
         for number in range(10):
             digest.update(path.encode())
-            step = reader.page(*drawn_page(draw, number))
+            step = reader.receive_page(*drawn_page(draw, number))
             if hasattr(step, "path"):
                 path = step.path
                 continue
@@ -178,12 +178,12 @@
             schedule.set_processes(draw.randrange(9))
         if due > now:
             continue
-        schedule.started(now)
+        schedule.record_start(now)
         if draw.random() < 0.7:
-            schedule.succeeded(now, draw.randrange(4))
+            schedule.record_success(now, draw.randrange(4))
             freshest = now
         else:
-            schedule.failed(now)
+            schedule.record_failure(now)
     return digest.hexdigest()
 
 
--- a/tests/simulation/mutations.py
+++ b/tests/simulation/mutations.py
@@ -339,7 +339,7 @@
     Mutation(
         "trusts an empty list",
         HostView,
-        "_distrusts",
+        "_is_untrusted",
         _trusts_an_empty_list,
         Invariant.RECOVERS,
         draw_hosts,
--- a/tests/test_controlplane_platform_list.py
+++ b/tests/test_controlplane_platform_list.py
@@ -6,7 +6,7 @@
 from hopsail.feed.journal import Change, Journal
 from hopsail.feed.topics import Topic
 from hopsail.hosts.instance import Address, Instance, Phase, encode
-from hopsail.hosts.view import FORGET_AFTER_NS
+from hopsail.hosts.view import TOMBSTONE_TTL_NS
 from hopsail.net.counters import Counters
 
 
@@ -53,9 +53,9 @@
 
 def test_a_process_that_never_reads_forgets_hosts_that_have_gone():
     listing = Listing()
-    listing.told(instance(Phase.GONE))
+    listing.told(instance(Phase.REMOVED))
     assert listing.fed() == ["i-1"]
-    listing.now += FORGET_AFTER_NS + FORGET_EVERY
+    listing.now += TOMBSTONE_TTL_NS + FORGET_EVERY
     listing.told(instance(Phase.SERVING, "i-2"), key="i-2")
     listing.look()
     assert listing.fed() == ["i-2"]
--- a/tests/test_dataplane_placement.py
+++ b/tests/test_dataplane_placement.py
@@ -112,7 +112,7 @@
     fleet = Fleet(hosts=3)
     fleet.list(
         instance("i-10", Phase.DRAINING),
-        instance("i-11", Phase.GONE),
+        instance("i-11", Phase.REMOVED),
         instance("i-12", service="other"),
         instance("i-13"),
     )
@@ -126,7 +126,7 @@
     assert fleet.placement.capacity("unheard-of") == 0
 
 
-@pytest.mark.parametrize("phase", [Phase.DRAINING, Phase.GONE])
+@pytest.mark.parametrize("phase", [Phase.DRAINING, Phase.REMOVED])
 def test_a_host_that_leaves_gets_nothing_from_then_on(phase):
     fleet = Fleet()
     home = fleet.host()
@@ -160,14 +160,14 @@
     fleet = Fleet()
     assert fleet.gone == []
     assert fleet.list(instance("i-2", Phase.DRAINING)) == []
-    assert fleet.list(instance("i-2", Phase.GONE)) == [instance("i-2").address]
+    assert fleet.list(instance("i-2", Phase.REMOVED)) == [instance("i-2").address]
     assert fleet.placement.renew() == []
 
 
 def test_an_address_that_another_service_takes_over_is_not_used_for_the_first():
     fleet = Fleet(hosts=2)
     address = instance("i-0").address
-    fleet.list(instance("i-0", Phase.GONE), instance("i-9", service="other", address=address))
+    fleet.list(instance("i-0", Phase.REMOVED), instance("i-9", service="other", address=address))
     placed = [fleet.place(excluded=[name]) for name in ("", "i-1")]
     assert [one and one.host.address for one in placed] == [instance("i-1").address, None]
     assert fleet.place(service="other").host.identifier == "i-9"
@@ -175,7 +175,7 @@
 
 def test_a_host_restarted_at_its_address_is_named_by_its_new_identifier():
     fleet = Fleet(hosts=1)
-    fleet.list(instance("i-0", Phase.GONE), instance("i-7", address=instance("i-0").address))
+    fleet.list(instance("i-0", Phase.REMOVED), instance("i-7", address=instance("i-0").address))
     placed = fleet.place()
     assert (placed.host.identifier, placed.host.address) == ("i-7", instance("i-0").address)
 
@@ -183,7 +183,7 @@
 def test_places_of_hosts_that_leave_do_not_count():
     fleet = Fleet(hosts=3)
     assert fleet.placement.capacity("s") == 12
-    fleet.list(instance("i-0", Phase.DRAINING), instance("i-1", Phase.GONE))
+    fleet.list(instance("i-0", Phase.DRAINING), instance("i-1", Phase.REMOVED))
     assert fleet.placement.capacity("s") == 4
 
 
@@ -251,7 +251,7 @@
     fleet = Fleet()
     health = fleet.placement.services["s"].health
     health.failed(fleet.now, "i-0", Failure.CONNECTION, fleet.now)
-    fleet.list(instance("i-0", Phase.GONE))
+    fleet.list(instance("i-0", Phase.REMOVED))
     assert health.may_send(fleet.now, "i-0")
 
 
@@ -568,7 +568,7 @@
     fleet = Fleet(hosts=9)
     listed = shortlist(fleet)
     backlogs = dict.fromkeys(listed.hosts, IDLE)
-    fleet.list(instance(listed.hosts[0], Phase.GONE))
+    fleet.list(instance(listed.hosts[0], Phase.REMOVED))
     assert placed_among(fleet, backlogs, listed=listed) == listed.hosts[1]
     for name in listed.hosts[1:]:
         fleet.list(instance(name, Phase.DRAINING))
--- a/tests/test_dataplane_view.py
+++ b/tests/test_dataplane_view.py
@@ -164,10 +164,10 @@
     feeds[0].tell(*listed(instance(phase=Phase.DRAINING)))
     feeds[1].tell(*listed(instance(phase=Phase.SERVING)))
     assert view.instances["i-1"].phase is Phase.DRAINING
-    feeds[0].tell(*listed(instance(phase=Phase.GONE)))
+    feeds[0].tell(*listed(instance(phase=Phase.REMOVED)))
     feeds[1].tell(*listed(instance(phase=Phase.DRAINING)))
     feeds[1].tell(*listed(instance(phase=Phase.SERVING)))
-    assert view.instances["i-1"].phase is Phase.GONE
+    assert view.instances["i-1"].phase is Phase.REMOVED
 
 
 def test_the_revision_of_a_model_never_falls(view):
@@ -181,7 +181,7 @@
         instance(phase=Phase.SERVING, revision=1, warmup=500),
         instance(phase=Phase.SERVING, revision=2, warmup=100),
         instance(phase=Phase.DRAINING, revision=1),
-        instance(phase=Phase.GONE, revision=1),
+        instance(phase=Phase.REMOVED, revision=1),
         instance("i-2", revision=4),
     ]
     views = []
@@ -208,17 +208,17 @@
 
 
 def test_an_instance_that_is_gone_before_it_was_known_does_not_come_up(view):
-    Feed(view, "c1").tell(*listed(instance(phase=Phase.GONE)))
+    Feed(view, "c1").tell(*listed(instance(phase=Phase.REMOVED)))
     Feed(view, "c2").tell(*listed(instance(phase=Phase.SERVING)))
-    assert view.instances["i-1"].phase is Phase.GONE
+    assert view.instances["i-1"].phase is Phase.REMOVED
 
 
 def test_instances_that_are_gone_are_bounded_and_live_ones_stay(view):
     feed = Feed(view)
     feed.tell(*listed(*[instance(f"live-{number}") for number in range(5)]))
     for start in range(0, GONE_KEPT + 40, 40):
-        feed.tell(*listed(*[instance(f"i-{start + number}", Phase.GONE) for number in range(40)]))
-    gone = [one for one in view.instances.values() if one.phase is Phase.GONE]
+        feed.tell(*listed(*[instance(f"i-{start + number}", Phase.REMOVED) for number in range(40)]))
+    gone = [one for one in view.instances.values() if one.phase is Phase.REMOVED]
     assert len(gone) == GONE_KEPT and len(view.instances) == GONE_KEPT + 5
     assert f"i-{GONE_KEPT + 39}" in view.instances  # the oldest were forgotten
 
@@ -230,7 +230,7 @@
     assert not view.ready
     feed.tell(*listed(instance()))
     assert view.ready
-    feed.tell(*listed(instance(phase=Phase.GONE)))
+    feed.tell(*listed(instance(phase=Phase.REMOVED)))
     assert not view.ready
 
 
@@ -283,7 +283,7 @@
         name = f"i-{number}"
         done = encode_load(HostLoad(LoadPhase.DONE, 2, 7, 3))
         feed.state.clear()
-        feed.tell(*listed(instance(name, Phase.GONE)), Change(Topic.LOAD, name, done))
+        feed.tell(*listed(instance(name, Phase.REMOVED)), Change(Topic.LOAD, name, done))
     assert len(view.loads) <= len(view.instances)
 
 
@@ -338,7 +338,7 @@
 def test_what_a_host_kept_goes_with_it(view):
     feed = Feed(view)
     feed.tell(*listed(instance()), kept(800), kept(700, "i-2 salt 5c1e"))
-    feed.tell(*listed(instance(phase=Phase.GONE)))
+    feed.tell(*listed(instance(phase=Phase.REMOVED)))
     assert told_kept(view) == {"i-2": 700}
     feed.tell(kept(None))
     assert told_kept(view) == {"i-2": 700} and view.unreadable == 0
--- a/tests/test_old_configurations.py
+++ b/tests/test_old_configurations.py
@@ -121,10 +121,10 @@
     simulation.process(cut).read_hosts(host("i-long-gone"))
     simulation.run(20 * SECOND)
     assert "i-long-gone" not in plane.view.instances
-    simulation.process(cut).read_hosts(host("i-long-gone", Phase.GONE))
+    simulation.process(cut).read_hosts(host("i-long-gone", Phase.REMOVED))
     simulation.heal()
     simulation.run(SECOND)
-    assert plane.view.instances["i-long-gone"].phase is Phase.GONE
+    assert plane.view.instances["i-long-gone"].phase is Phase.REMOVED
 
 
 def test_news_of_hosts_go_on_while_nobody_has_a_majority():
--- a/tests/test_weights.py
+++ b/tests/test_weights.py
@@ -598,7 +598,7 @@
     assert simulation.loads["i-0-0"].revision == 3
 
 
-@pytest.mark.parametrize("phase", [Phase.DRAINING, Phase.GONE])
+@pytest.mark.parametrize("phase", [Phase.DRAINING, Phase.REMOVED])
 def test_hosts_that_leave_are_left_out(phase):
     rollout = Rollout("node-1", RolloutRules(), MODEL)
     rollout.acquire(0, 1, False)
