--- a/hopsail/controlplane/kept_reader.py
+++ b/hopsail/controlplane/kept_reader.py
@@ -7,14 +7,16 @@
 import json
 from typing import NamedTuple
 
+from ..event_log import get_logger
 from ..feed.store_status import StoreStatus, encode_store
 from ..feed.topics import Topic
 from ..hosts.instance import InstanceError, Phase, parse_address
-from ..net.log import say
 from ..prompts.kept import KeptIndex
 from ..prompts.kept_events import KeptChange
 from .parts import part_of_service
 
+log = get_logger("store")
+
 MILLISECOND = 1_000_000
 LOOK_EVERY_MS = 100
 HOST_EVERY = 2500 * MILLISECOND
@@ -125,7 +127,7 @@
         """Feeds on whether a store answers, with the term of who says so."""
         term = self.plane.parts[part_of_service(holder.service)].replica.term
         if self.journal.set(Topic.STORE, holder.service, encode_store(StoreStatus(term, up))):
-            say("store", f"{holder.service} is {'up' if up else 'down'}, term {term}")
+            log.info("%s is %s, term %s", holder.service, "up" if up else "down", term)
 
     def _apply(self, holder: _Holder, events: _Events) -> None:
         known = self.index.incarnation(holder.name)
--- a/hopsail/controlplane/part.py
+++ b/hopsail/controlplane/part.py
@@ -5,13 +5,15 @@
 from typing import Protocol
 
 from ..configuration.codes import ResultCode
-from ..net.log import fault, say
+from ..event_log import get_logger, log_exception
 from ..replication.messages import Entry, EntryKind
 from ..replication.replica import Replica
 from ..replication.state import Busy, NotLeader, Ready, Snapshot
 from .commands import Command, Result, decode_command
 from .compaction import Compaction
 
+log = get_logger("part")
+
 MOST_PENDING = 1024  # proposals that wait for their entry to be applied
 FAULTY = Result(400, int(ResultCode.CONTROL_UNREADABLE))  # of a command that no replica can carry out
 
@@ -107,13 +109,11 @@
             self._notify(self._applied, self)
         if self._was_recovering and not self.replica.recovering:
             self._was_recovering = False
-            say("part", f"part {self.number} counts again here, term {self.replica.term}")
+            log.info("recovered", part=self.number, term=self.replica.term)
         if self.leads != self._was_leader:
             self._was_leader = self.leads
-            say(
-                "part",
-                f"part {self.number} {'led' if self.leads else 'not led'} here, term {self.replica.term}",
-            )
+            leadership = "led" if self.leads else "not led"
+            log.info("part %s %s here, term %s", self.number, leadership, self.replica.term)
 
     def compact(self) -> None:
         """Begins to replace old entries by a snapshot when there are many; `pump` goes on with it."""
@@ -132,7 +132,7 @@
                 return
             self.replica.compact(self._compaction.index, data)
         except Exception:  # the log grows until the next one, all else goes on
-            fault()
+            log_exception()
         self._compaction = None
 
     def _install(self, snapshot: Snapshot) -> bool:
@@ -202,7 +202,7 @@
         except StopIteration:
             return False
         except Exception:
-            fault()
+            log_exception()
             return False
         return True
 
@@ -227,7 +227,7 @@
         try:
             return self._apply(self.state, index, command)
         except Exception:
-            fault()
+            log_exception()
             self.dropped_entries += 1
             return FAULTY
 
@@ -236,7 +236,7 @@
         try:
             callback(argument)
         except Exception:
-            fault()
+            log_exception()
 
     def _drop_pending(self) -> None:
         """Those who wait are told that nothing is known once another leader's log takes their place."""
--- a/hopsail/controlplane/plane.py
+++ b/hopsail/controlplane/plane.py
@@ -5,13 +5,13 @@
 from ..configuration.needs import CONTROL_PLANE_NEEDS
 from ..configuration.process import ProcessSettings
 from ..configuration.view import RouteTable
+from ..event_log import get_logger
 from ..feed.journal import Change, Journal
 from ..feed.messages import POLL, PollRequest
 from ..feed.topics import Topic
 from ..http.client import HttpClient
 from ..http.message import Request
 from ..http.server import Exchange, HttpServer, ServerLimits
-from ..net.log import say
 from ..process import FLEET, Program
 from ..rpc.channel import Channel
 from ..rpc.server import RpcServer
@@ -37,6 +37,9 @@
 from .stopping import Ending
 from .voters import Voters
 
+state_log = get_logger("state")
+configuration_log = get_logger("configuration")
+
 DATA_PLANE_ROLE = "dataplane"
 BODY_BYTES = 6 << 20  # of an operator's call
 MOST_ENTRIES = 2_000_000  # of the feed
@@ -94,7 +97,7 @@
         self._tick()
         self._slow_tick()
         self._voters_tick()
-        say("state", f"control plane {self.identity} starts")
+        state_log.info("control plane %s starts", self.identity)
 
     def stop(self) -> None:
         """Hands over what it leads, and ends when the others can go on without it or the grace is over."""
@@ -193,7 +196,7 @@
     def _configuration_fed(self, table: RouteTable) -> None:
         """A revision of the configuration has been fed."""
         self.table = table
-        say("configuration", f"revision {table.revision} taken")
+        configuration_log.info("revision %s taken", table.revision)
 
     def _feeds(self) -> Feeds:
         part = self.parts[CONFIGURATION_PART]
--- a/hopsail/controlplane/rollouts.py
+++ b/hopsail/controlplane/rollouts.py
@@ -2,10 +2,10 @@
 
 import json
 
+from ..event_log import get_logger
 from ..feed.topics import Topic
 from ..hosts.instance import Phase
 from ..http.client import CLOSE
-from ..net.log import say
 from ..routing.lanes import neighbours
 from ..weights.eligibility import SeenLoad, held_revision
 from ..weights.load import HostLoadError, decode_load, encode_load, merge_load
@@ -14,6 +14,8 @@
 from .commands import Command, CommandKind
 from .parts import part_of_service
 
+log = get_logger("weights")
+
 MILLISECOND = 1_000_000
 LOOK_EVERY_MS = 40
 CALL_TIMEOUT = 380 * MILLISECOND
@@ -53,7 +55,7 @@
             for model, revision in part.state.revisions.items():
                 named = self.targets.setdefault(model, NamedRevisions(self.rules.deadline_ns))
                 if named.name(now, revision):
-                    say("weights", f"model {model}: revision {revision} named")
+                    log.info("model %s: revision %s named", model, revision)
             for service, duty in part.state.duties.items():
                 if duty.released:
                     self.released.setdefault((service, duty.fence), now)
@@ -229,7 +231,7 @@
             status = response.status if response is not None else None
             self.plane.counters.add(f"orders.{status}")
             revision = action.body["Revision"]
-            say("weights", f"host {action.host} ordered to revision {revision}: {status}")
+            log.info("host %s ordered to revision %s: %s", action.host, revision, status)
             rollout.order_answered(self.plane.loop.now(), action.host, status, action.serial)
 
         self.plane.counters.add("orders")
--- a/hopsail/controlplane/voters.py
+++ b/hopsail/controlplane/voters.py
@@ -7,9 +7,11 @@
 
 from typing import NamedTuple
 
-from ..net.log import say
+from ..event_log import get_logger
 from ..replication.state import Busy, Members, NotLeader
 
+log = get_logger("members")
+
 MILLISECOND = 1_000_000
 SECOND = 1000 * MILLISECOND
 DEAD_SHARE = 3  # of the time until the next loss may come, one in so many passes until a silent voter is dead
@@ -75,7 +77,8 @@
         except (Busy, NotLeader):
             return
         self.plane.counters.add("members.changed")
-        say("members", f"part {number}: voters {_named(wanted.voters)}, learners {_named(wanted.learners)}")
+        voters, learners = _named(wanted.voters), _named(wanted.learners)
+        log.info("part %s: voters %s, learners %s", number, voters, learners)
         part.pump()
 
     def _is_silent(self, now: int, watch: Watch, replica, identity: str) -> bool:
--- a/hopsail/dataplane/lane_agreement.py
+++ b/hopsail/dataplane/lane_agreement.py
@@ -10,8 +10,8 @@
 from collections.abc import Callable, Iterator, Mapping
 from dataclasses import dataclass, field
 
+from ..event_log import get_logger
 from ..model import SECOND
-from ..net.log import say
 from ..routing.lane_demand import NAMES, LaneMeter, LaneSums
 from ..routing.lane_division import HALF_NS, Division, DivisionRegistrar
 from ..routing.lane_sizing import HostPool
@@ -20,6 +20,8 @@
 from .work_directory import Address, WorkDirectory
 from .work_messages import LaneReport, LaneTotals, ToldDivision, WorkDatagram
 
+log = get_logger("lanes")
+
 LEAST_INTERVAL_NS = SECOND  # between a sender's reports
 DECIDE_EVERY_NS = SECOND  # a decision takes some milliseconds
 REPORTS_PER_S = 40  # that a registrar gets of a service, whatever the number of senders
@@ -159,10 +161,7 @@
             return
         self.counters.add("lanes.decided")
         count = short_hosts(number, decided.short_share)
-        say(
-            "lanes",
-            f"service {service}: division {decided.number}, {count} of {number} hosts for short prompts",
-        )
+        log.info("division decided", service=service, number=decided.number, short_hosts=count, hosts=number)
         self._hold(service, decided)
         for address in self.directory.addresses():
             if address != self.directory.address:
--- a/hopsail/dataplane/late_log.py
+++ b/hopsail/dataplane/late_log.py
@@ -1,6 +1,6 @@
 """Log lines on requests for prompts that missed their aim: what was known when hosts were chosen, what came.
 
-Off unless asked for on the command line (`--log-late`), and bounded like all lines (`system_log`): a line a
+Off unless asked for on the command line (`--log-late`), and bounded like all lines: one line for each
 request, a JSON object under the topic `late-request`, with the fields of `LateRequest`. The program
 `benchmarks/late_causes.py` folds the lines of many processes into a table of causes."""
 
@@ -8,14 +8,15 @@
 from dataclasses import asdict, dataclass
 from enum import StrEnum
 
+from ..event_log import get_logger
 from ..model import MS
-from ..net.log import say
 from .attempt import Attempt
 from .execution import target_ms
 from .placement import ComparedHost, Placed
 from .view import FleetView
 
-TOPIC = "late-request"
+
+log = get_logger("late-request")
 DIGITS = 1  # after the point, of figures in lines
 
 
@@ -80,7 +81,8 @@
         if took <= aim and end is LateEnd.LATE:
             return
         self.counters.add(f"late.{end.value}")
-        say(TOPIC, json.dumps(rounded(asdict(self._record(forwarding, attempt, end, aim, took)))))
+        record = self._record(forwarding, attempt, end, aim, took)
+        log.info("%s", json.dumps(rounded(asdict(record))))
 
     def _record(self, forwarding, attempt: Attempt | None, end: LateEnd, aim, took) -> LateRequest:
         prompt, began = forwarding.prompt, forwarding.exchange.began
--- a/hopsail/dataplane/plane.py
+++ b/hopsail/dataplane/plane.py
@@ -6,6 +6,7 @@
 
 from ..configuration.needs import DATA_PLANE_NEEDS
 from ..configuration.process import ProcessSettings
+from ..event_log import get_logger
 from ..feed.confirmed import ConfirmedFeeds, contact_time
 from ..feed.follower import Follower
 from ..feed.journal import Change
@@ -13,7 +14,6 @@
 from ..http.message import Headers, Request, whole_number
 from ..http.pool import ConnectionPool
 from ..http.server import Exchange, HttpServer, Rejection, ServerLimits
-from ..net.log import say
 from ..process import FLEET, MILLISECOND, Program
 from ..routing.admission import Verdict
 from ..routing.choice import HostState
@@ -33,6 +33,11 @@
 from .work_directory import Answer, WorkDirectory
 from .work_socket import WorkSocket
 
+state_log = get_logger("state")
+configuration_log = get_logger("configuration")
+weights_log = get_logger("weights")
+work_log = get_logger("work")
+
 ROLE = "dataplane"
 DIRECTORY_PORT = 1  # after the first of the range
 READY_PATH = "/-/readyz"
@@ -95,7 +100,7 @@
         self.membership.on_change = self._members_changed
         self.controls.renew_seeds(self.seeds)
         self._tick()
-        say("state", f"data plane {settings.node_name} starts")
+        state_log.info("data plane %s starts", settings.node_name)
 
     def _open_directory(self) -> None:
         """On the port after membership's; there is none where there is no such port or it is taken."""
@@ -106,7 +111,7 @@
         try:
             opened = WorkSocket(self.loop, (settings.ip, port), FLEET, self.random, self.counters)
         except OSError as error:
-            say("work", f"no directory of work, {settings.ip}:{port}: {error}")
+            work_log.warning("no directory of work, %s:%s: %s", settings.ip, port, error)
             return
         self.attempts.directory = opened.directory
         if self.placement.parameters.follow_demand:
@@ -160,7 +165,7 @@
             self.lanes.tick()
         if self.ready != self.was_ready:
             self.was_ready = self.ready
-            say("state", "ready" if self.ready else "not ready")
+            state_log.info("ready" if self.ready else "not ready")
 
     def figures(self) -> dict[str, int]:
         return {
@@ -196,7 +201,7 @@
         self.limits.header_wait_ms = int(limits.get("HeaderWaitMs", self.limits.header_wait_ms))
         self.limits.idle_timeout_ms = int(limits.get("IdleTimeoutMs", self.limits.idle_timeout_ms))
         self.counters.add("configuration.taken")
-        say("configuration", f"revision {table.revision} in force")
+        configuration_log.info("revision %s in force", table.revision)
 
     def _instances_changed(self) -> None:
         for address in self.placement.renew():
@@ -204,12 +209,12 @@
 
     def _target_named(self, model: str, revision: int) -> None:
         self.counters.add("targets.named")
-        say("weights", f"model {model}: revision {revision} named")
+        weights_log.info("model %s: revision %s named", model, revision)
 
     def _age_judged(self, state: HostState) -> None:
         verdict = "too old, not used" if state.is_too_old else "new enough, used"
         self.counters.add("hosts.too_old" if state.is_too_old else "hosts.new_enough")
-        say("weights", f"host {state.identifier} at revision {state.revision}: {verdict}")
+        weights_log.info("host %s at revision %s: %s", state.identifier, state.revision, verdict)
 
     @property
     def ready(self) -> bool:
--- a/hopsail/feed/follower.py
+++ b/hopsail/feed/follower.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable, Collection
 
-from ..net.log import fault
+from ..event_log import log_exception
 from ..net.loop import Loop, Timer
 from ..rpc.channel import Channel
 from ..rpc.errors import CallError, FrameError
@@ -103,7 +103,7 @@
         try:
             return self.make_report()
         except Exception:  # without its report, the poll still brings the changes
-            fault()
+            log_exception()
             return b""
 
     def _answered(self, reply: PollReply | None, error: CallError | None) -> None:
@@ -114,7 +114,7 @@
             try:
                 reply = unpack(reply)
             except FrameError:
-                fault()
+                log_exception()
                 reply = None
         if reply is None:
             self._ask_at(self.loop.now() + self._back_off)
--- a/hopsail/http/server.py
+++ b/hopsail/http/server.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from ..net.log import say
+from ..event_log import get_logger
 from ..net.loop import READ
 from ..net.stream import listening
 from .exchange import Exchange
@@ -10,6 +10,8 @@
 from .message import Headers, Request
 from .server_connection import ServerConnection
 
+log = get_logger("server")
+
 BACKLOG = 1024
 ACCEPTED_AT_ONCE = 64  # in one round of the loop
 
@@ -84,7 +86,7 @@
             except BlockingIOError:
                 return False
             except OSError as error:
-                say("server", f"cannot accept: {error.strerror}")
+                log.warning("cannot accept: %s", error.strerror)
                 return False
             if len(self.connections) >= self.limits.connections:
                 sock.close()
--- a/hopsail/http/server_connection.py
+++ b/hopsail/http/server_connection.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from ..net.log import fault
+from ..event_log import log_exception
 from ..net.loop import READ, Loop
 from ..net.stream import Stream
 from .exchange import Exchange
@@ -91,7 +91,7 @@
             try:
                 self.server.handle(request, exchange)
             except Exception:
-                fault()
+                log_exception()
                 if not exchange.ended and not exchange.started:
                     exchange.respond(500)
                 elif not exchange.ended:
--- a/hopsail/net/log.py
+++ b/hopsail/net/log.py
@@ -5,10 +5,9 @@
 import logging
 import sys
 import traceback
-from time import monotonic
-from typing import Protocol
+from typing import NotRequired, Protocol, TypedDict
 
-PER_SECOND = 5  # lines of one topic: enough to see what goes on, too few to hold up the loop
+from .topic_limiter import TopicLimiter
 
 logging.raiseExceptions = (
     False  # a full or closed log must not take the balancer down, nor keep it from its end
@@ -20,20 +19,15 @@
 
     def __init__(self):
         super().__init__()
-        self.said: dict[str, list] = {}  # topic: [second, lines in it, lines left out]
+        self._limiter = TopicLimiter()
 
     def filter(self, record):
         if not getattr(record, "bounded", True):
             return True
-        second = int(monotonic())
-        entry = self.said.setdefault(record.topic, [second, 0, 0])
-        if entry[0] != second:
-            entry[0], entry[1] = second, 0
-        entry[1] += 1
-        if entry[1] > PER_SECOND:
-            entry[2] += 1
+        suppressed = self._limiter.admit(record.topic)
+        if suppressed is None:
             return False
-        record.left_out, entry[2] = entry[2], 0
+        record.left_out = suppressed
         return True
 
 
@@ -78,12 +72,26 @@
 _logger.addFilter(Bound())
 
 
+class Extra(TypedDict):
+    """What a line has beside its text."""
+
+    topic: str
+    bounded: NotRequired[
+        bool
+    ]  # whether it counts among its topic's lines of this second; it does if not given
+
+
 class Sink(Protocol):
-    """Where lines go: the part of a logger that is used here."""
+    """Where lines go: the methods of a logger that are used here. `text` is a format for `arguments`."""
 
-    def info(self, text: str, *arguments, extra: dict) -> None: ...
+    def info(self, text: str, *arguments: object, extra: Extra) -> None:
+        """Writes a line at level INFO."""
 
-    def error(self, text: str, *arguments, extra: dict) -> None: ...
+    def warning(self, text: str, *arguments: object, extra: Extra) -> None:
+        """Writes a line at level WARNING."""
+
+    def error(self, text: str, *arguments: object, extra: Extra) -> None:
+        """Writes a line at level ERROR."""
 
 
 def adopt(sink: Sink) -> None:
@@ -92,6 +100,11 @@
     _logger = sink
 
 
+def sink() -> Sink:
+    """Where lines go now."""
+    return _logger
+
+
 def form(as_json: bool, name: str) -> None:
     """How lines look from now on."""
     _handler.setFormatter(Json(name) if as_json else Plain())
--- a/hopsail/process.py
+++ b/hopsail/process.py
@@ -8,16 +8,19 @@
 from pathlib import Path
 from time import monotonic_ns
 
-from . import early, system_log
+from . import early, event_sink
 from .configuration.codes import ResultCode, SettingsError
 from .configuration.needs import missing_settings
 from .configuration.process import ProcessSettings, parse_settings
 from .errors import HopsailError
+from .event_log import get_logger
 from .membership.node import Membership
 from .net.counters import Counters
-from .net.log import say
 from .net.loop import Loop
 
+state_log = get_logger("state")
+settings_log = get_logger("settings")
+
 SETTINGS_VARIABLE = "HOPSAIL_CONFIG"
 FAULTY_SETTINGS = 2  # exit status
 FLEET = "hopsail-1"  # own protocol's name and version: others are dropped
@@ -104,7 +107,7 @@
     def terminate(self) -> None:
         if not self.stopping:
             self.stopping = True
-            say("state", "stopping")
+            state_log.info("stopping")
             self.stop()
 
     def finish(self) -> None:
@@ -124,10 +127,10 @@
         try:
             settings = read_settings()
         except (SettingsError, OSError) as error:
-            say("settings", f"not taken: {error}")
+            settings_log.warning("not taken: %s", error)
             return
         if missing := missing_settings(self.needed_settings, settings):
-            say("settings", f"not taken: {missing[0]}")
+            settings_log.warning("not taken: %s", missing[0])
             return
         self.settings = settings
         self.renewed(settings)
@@ -157,7 +160,7 @@
         for error in missing:
             print(f"hopsail: settings: {error}", file=sys.stderr)
         sys.exit(FAULTY_SETTINGS)
-    system_log.use()
+    event_sink.install()
     running = program(settings, **options)
     running.started_at = running.loop.now() - (monotonic_ns() - early.started_at)
     try:
--- a/hopsail/rpc/channel.py
+++ b/hopsail/rpc/channel.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..net.log import fault
+from ..event_log import log_exception
 from ..net.loop import Loop, Timer
 from ..net.stream import dial
 from .connection import Connection
@@ -146,7 +146,7 @@
         try:
             call.done(reply, error)
         except Exception:  # one caller's fault must not end the connection that others use
-            fault()
+            log_exception()
 
     def _read(self, call: _Call, message: Message) -> tuple[Struct | None, CallError | None]:
         if message.kind is Kind.REPLY:
--- a/hopsail/rpc/server.py
+++ b/hopsail/rpc/server.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any, NamedTuple
 
-from ..net.log import fault
+from ..event_log import log_exception
 from ..net.loop import READ, Loop
 from ..net.stream import SHORT, listening
 from .connection import Connection
@@ -190,7 +190,7 @@
         try:
             method.handler(argument, respond, connection.peer)
         except Exception as error:  # one call's fault must not end the others of its connection
-            fault()
+            log_exception()
             self.counts.failed_handlers += 1
             respond.fail(FailureKind.INTERNAL_ERROR, type(error).__name__)
 
--- a/tests/test_log.py
+++ b/tests/net/test_log.py
@@ -7,7 +7,8 @@
 
 from hopsail import config
 from hopsail.config import ConfigFault
-from hopsail.net import log
+from hopsail.net import log, topic_limiter
+from hopsail.net.topic_limiter import MAX_LINES_PER_SECOND
 
 
 @pytest.fixture(autouse=True)
@@ -18,13 +19,13 @@
 
 def clock(monkeypatch):
     at = [1000.0]
-    monkeypatch.setattr(log, "monotonic", lambda: at[0])
+    monkeypatch.setattr(topic_limiter, "monotonic", lambda: at[0])
     return at
 
 
 def test_a_topic_has_so_many_lines_a_second_and_tells_what_was_left_out(monkeypatch, capsys):
     at = clock(monkeypatch)
-    for _ in range(log.PER_SECOND + 7):
+    for _ in range(MAX_LINES_PER_SECOND + 7):
         log.say("noise", "again")
     log.say("other", "heard")
     for _ in range(3):
@@ -33,7 +34,7 @@
     log.say("noise", "again")
     lines = capsys.readouterr().err.splitlines()
     assert lines == [
-        *["hopsail: noise: again"] * log.PER_SECOND, "hopsail: other: heard",
+        *["hopsail: noise: again"] * MAX_LINES_PER_SECOND, "hopsail: other: heard",
         *["hopsail: noise: must be said"] * 3, "hopsail: noise: again (7 more left out)",
     ]  # fmt: skip
 
@@ -42,7 +43,7 @@
     at = clock(monkeypatch)
     at[0] += 10
     log.form(True, "n7")
-    for i in range(log.PER_SECOND + 2):
+    for i in range(MAX_LINES_PER_SECOND + 2):
         log.say("start", f'line {i} "quoted"\nand broken %s')
     try:
         raise KeyError("gone")
@@ -51,7 +52,7 @@
     at[0] += 1
     log.say("start", "later")
     rows = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
-    assert len(rows) == log.PER_SECOND + 2 and {row["name"] for row in rows} == {"n7"}
+    assert len(rows) == MAX_LINES_PER_SECOND + 2 and {row["name"] for row in rows} == {"n7"}
     assert rows[0]["text"] == 'line 0 "quoted"\nand broken %s' and rows[0]["level"] == "info"
     assert rows[-2]["topic"] == "fault" and rows[-2]["level"] == "error" and "KeyError" in rows[-2]["text"]
     assert rows[-1]["left_out"] == 2 and rows[-1]["at"] > 1.7e9
--- a/tests/simulation/substitutes.py
+++ b/tests/simulation/substitutes.py
@@ -71,6 +71,9 @@
     def info(self, text: str, *arguments, extra: dict) -> None:
         """Nobody reads it."""
 
+    def warning(self, text: str, *arguments, extra: dict) -> None:
+        """Nobody reads it."""
+
     def error(self, text: str, *arguments, extra: dict) -> None:
         self.tell_fault(str(arguments[0]) if arguments else text)
 
--- a/tests/test_late_log.py
+++ b/tests/test_late_log.py
@@ -1,6 +1,7 @@
 """Lines on requests that missed their aim, and the table that is folded from them."""
 
 import json
+from types import SimpleNamespace
 
 import pytest
 from test_dataplane_directory import LONG, Directory
@@ -19,7 +20,12 @@
     one, lines = data_plane, []
     one.attempts.directory = Directory()
     one.late_log = LateLog(lambda: one.loop.now(), one.view, one.counters)
-    monkeypatch.setattr(late_log, "say", lambda topic, text: lines.append(f"hopsail: {topic}: {text}"))
+    topic = late_log.log.topic
+
+    def record(event, *values):
+        lines.append(f"hopsail: {topic}: {event % values}")
+
+    monkeypatch.setattr(late_log, "log", SimpleNamespace(info=record))
     one.lines = lines
     feed(one.view, instances=[instance(f"i-{number}", port=8000 + number) for number in range(6)])
     return one
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -1,12 +1,15 @@
 """What both programs share: settings that change with and without a signal, and a start that fails."""
 
 import os
+from io import StringIO
 
 import pytest
 
 from hopsail import process
 from hopsail.configuration.needs import CONTROL_PLANE_NEEDS, DATA_PLANE_NEEDS, missing_settings
 from hopsail.configuration.process import parse_settings
+from hopsail.event_sink import PicologgingSink
+from hopsail.net import log
 
 TEXT = "NodeName=n\nIp=127.0.0.1\nZone=z\nPortRange=7640,7655\n"
 FRONT = "Listen.Frontend=127.0.0.1:1\nListen.Readiness=127.0.0.1:2\n"
@@ -75,13 +78,14 @@
     ids=["empty", "a key is missing", "cut short", "no text", "no text at the end"],
 )
 def test_a_signal_to_read_a_file_with_a_fault_changes_nothing(file, running, monkeypatch, data):
-    said = []
-    monkeypatch.setattr(process, "say", lambda topic, text: said.append(f"{topic}: {text}"))
+    stream = StringIO()
+    monkeypatch.setattr(log, "_logger", PicologgingSink(stream))
     before = running.settings
     file.write_bytes(data)
     running._reload()
     assert running.taken == [] and running.settings is before
-    assert len(said) == 1 and said[0].startswith("settings: not taken: 100")
+    said = stream.getvalue().splitlines()
+    assert len(said) == 1 and said[0].startswith("hopsail: settings: not taken: 100")
     change(file, TEXT + FRONT + "SeedNodes=127.0.0.9:8169\n")
     running._reload()
     assert running.taken == [(("127.0.0.9", 8169),)]
@@ -105,7 +109,7 @@
         def start(self):
             raise error
 
-    monkeypatch.setattr("hopsail.system_log.use", lambda: None)
+    monkeypatch.setattr("hopsail.event_sink.install", lambda: None)
     monkeypatch.setattr("hopsail.early.listen", lambda: None)
     with pytest.raises(SystemExit) as ended:
         process.main(Failing)
