--- a/hopsail/controlplane/rollouts.py
+++ b/hopsail/controlplane/rollouts.py
@@ -7,9 +7,9 @@
 from ..hosts.instance import Phase
 from ..http.client import CLOSE
 from ..routing.lanes import neighbours
-from ..weights.eligibility import SeenLoad, held_revision
+from ..weights.eligibility import SeenLoad, loaded_revision
 from ..weights.load import HostLoadError, decode_load, encode_load, merge_load
-from ..weights.named import NamedRevisions
+from ..weights.named_revisions import NamedRevisions
 from ..weights.rollout import Announce, HostInfo, Rollout, RolloutRules, SendOrder
 from .commands import Command, CommandKind
 from .parts import part_of_service
@@ -105,7 +105,7 @@
             if listed is None or instance.phase is not Phase.SERVING:
                 continue
             load = self._seen_load(instance.load_key(model))
-            held = held_revision(listed, load)
+            held = loaded_revision(listed, load)
             loading = load is not None and load.load.blocks and held < load.load.revision
             hosts.append(
                 HostInfo(
@@ -157,7 +157,7 @@
     def _fence_lost(self, service: str) -> bool:
         """Ends the roll-outs of a service once a host of any has seen a higher fence: they share theirs."""
         ours = [key for key in self.running if key[0] == service]
-        lost = any(self.running[key].rollout.fence_lost for key in ours)
+        lost = any(self.running[key].rollout.is_fenced for key in ours)
         for key in ours if lost else ():
             del self.running[key]
         return lost
@@ -232,7 +232,7 @@
             self.plane.counters.add(f"orders.{status}")
             revision = action.body["Revision"]
             log.info("host %s ordered to revision %s: %s", action.host, revision, status)
-            rollout.order_answered(self.plane.loop.now(), action.host, status, action.serial)
+            rollout.receive_order_status(self.plane.loop.now(), action.host, status, action.serial)
 
         self.plane.counters.add("orders")
         self.plane.http.call(
@@ -253,7 +253,7 @@
                     report = json.loads(response.body)
                 except ValueError:
                     self.plane.counters.add("reports.unreadable")
-            rollout.report_answered(self.plane.loop.now(), action.host, report, action.serial)
+            rollout.receive_report(self.plane.loop.now(), action.host, report, action.serial)
 
         self.plane.counters.add("reports")
         headers = [(TARGET, action.host), CLOSE]  # an earlier report told twice is not taken for this one
--- a/hopsail/dataplane/placement.py
+++ b/hopsail/dataplane/placement.py
@@ -17,7 +17,7 @@
 from ..routing.host_work import Backlog, ReadingRate
 from ..routing.lanes import Lane, lane_of
 from ..routing.recent_readers import LASTING_NS, part_key
-from ..weights.eligibility import Eligibility, EligibilityBounds, eligible, held_revision
+from ..weights.eligibility import Eligibility, EligibilityBounds, eligible, loaded_revision
 from .prompt import GENERATED_WEIGHT, Prompt
 from .service_hosts import ServiceHosts, UsableHosts
 from .sources import Source, Sources, large_parts
@@ -141,7 +141,7 @@
         if listed is None:
             return False
         load, named = self.view.loads.get(instance.load_key(model)), self.view.targets.get(model)
-        state.revision = held_revision(listed, load)
+        state.revision = loaded_revision(listed, load)
         verdict = eligible(now, listed, load, named, self.bounds)
         self._note_age(state, verdict is Eligibility.TOO_OLD)
         return verdict is Eligibility.OK
--- a/hopsail/dataplane/view.py
+++ b/hopsail/dataplane/view.py
@@ -10,7 +10,7 @@
 from ..prompts.kept import KeptIndex
 from ..weights.eligibility import SeenLoad
 from ..weights.load import HostLoad, decode_load, merge_load
-from ..weights.named import KEPT_NS, NamedRevisions
+from ..weights.named_revisions import RETENTION_NS, NamedRevisions
 
 GONE_KEPT = 4096  # instances that are gone and remembered, so that late news can't bring them back
 MOST_KEPT = 262_144  # entries of kept parts; a quarter as many are expected from own requests
@@ -27,7 +27,7 @@
 
     A configuration older than the one in force is never taken, whoever tells it."""
 
-    def __init__(self, apply_one_ns: int = KEPT_NS):
+    def __init__(self, apply_one_ns: int = RETENTION_NS):
         self.apply_one_ns = apply_one_ns  # in which a named version must be in force
         self.table: RouteTable | None = None
         self.configuration = FollowedConfiguration()
--- a/hopsail/weights/actions.py
+++ b/hopsail/weights/actions.py
@@ -1,16 +1,18 @@
-"""What the roll-out of new weights takes in and what it asks its driver to do."""
+"""Inputs of the roll-out of new weights, and the actions that its driver is to carry out."""
 
 from typing import Literal, NamedTuple, TypedDict
 
-from hopsail.hosts.instance import Address, Phase
+from hopsail.configuration.process import Address
+from hopsail.hosts.instance import Phase
 from hopsail.weights.load import HostLoad
 
 
 class HostInfo(NamedTuple):
-    """One host of the model: the revision it was last known to hold; hints on whom to begin with:
+    """One host of the model, with the revision that it was last known to have loaded.
 
-    the requests in flight there, and whether an earlier holder has announced a load that may be under way.
-    Of the hosts of a `group`, which do the same work, at most half load at once.
+    Two fields are hints on which host to begin with: `in_flight` counts its requests, and `loading` says that
+    an earlier lease owner has announced a load that may still be in progress. Of the hosts of one `group`,
+    which do the same work, at most half load at once.
     """
 
     identifier: str
@@ -34,14 +36,14 @@
 
 
 class Announce(NamedTuple):
-    """Tell the data planes about a host."""
+    """Announce the load of a host to the data planes."""
 
     host: str
     load: HostLoad
 
 
 class SendOrder(NamedTuple):
-    """Send an order; answer by `order_answered` with the same serial."""
+    """Send an order; its result goes to `Rollout.receive_order_status` with the same serial."""
 
     host: str
     address: Address
@@ -49,24 +51,24 @@
     serial: int
 
 
-class AskReport(NamedTuple):
-    """Ask `GET /-/report`; answer by `report_answered` with the same serial."""
+class RequestReport(NamedTuple):
+    """Request `GET /-/report`; the response goes to `Rollout.receive_report` with the same serial."""
 
     host: str
     address: Address
     serial: int
 
 
-Action = Announce | SendOrder | AskReport
+Action = Announce | SendOrder | RequestReport
 
 
-def order_body(model: str, revision: int, owner: str, fence: int) -> OrderBody:
-    """Return the body of an order: running requests finish first."""
+def order_body(model: str, revision: int, owner: str, fencing_token: int) -> OrderBody:
+    """Return the body of an order that lets running requests finish first."""
     return {
         "OrderKind": "Revision",
         "Model": model,
         "Revision": revision,
         "Method": "defer",
         "Owner": owner,
-        "FenceToken": fence,
+        "FenceToken": fencing_token,
     }
--- a/hopsail/weights/load.py
+++ b/hopsail/weights/load.py
@@ -1,19 +1,21 @@
-"""What the holder of a roll-out announces about one host to the data planes."""
+"""Announcement of the load of one host, from the owner of a roll-out to the data planes."""
 
 import json
 from enum import IntEnum
 from typing import NamedTuple
 
+from hopsail.errors import HopsailError
 
-class HostLoadError(ValueError):
-    """The bytes are no announcement."""
+
+class HostLoadError(HopsailError, ValueError):
+    """The bytes are not an encoded announcement."""
 
 
 class LoadPhase(IntEnum):
     """How far the load of new weights is at one host.
 
     IDLE: none is under way. PREPARING: an order follows, send nothing new. LOADING: an order was taken.
-    DONE: the host holds the revision.
+    DONE: the host has loaded the revision.
     """
 
     IDLE = 0
@@ -23,11 +25,11 @@
 
 
 class HostLoad(NamedTuple):
-    """One announcement: the revision being loaded (IDLE: the one not begun), ordered by fence and serial."""
+    """Announcement of the revision being loaded (IDLE: not begun), ordered by fencing token and serial."""
 
     phase: LoadPhase
     revision: int
-    fence: int
+    fencing_token: int
     serial: int
 
     @property
@@ -39,22 +41,26 @@
 def encode_load(load: HostLoad) -> bytes:
     """Return the announcement as compact JSON."""
     return json.dumps(
-        [int(load.phase), load.revision, load.fence, load.serial], separators=(",", ":")
+        [int(load.phase), load.revision, load.fencing_token, load.serial], separators=(",", ":")
     ).encode()
 
 
 def decode_load(data: bytes) -> HostLoad:
-    """Read what `encode_load` wrote; raises `HostLoadError`."""
+    """Read what `encode_load` wrote.
+
+    Raises:
+        HostLoadError: the bytes are not an encoded announcement.
+    """
     try:
-        phase, revision, fence, serial = json.loads(data)
+        phase, revision, fencing_token, serial = json.loads(data)
         known_phase = LoadPhase(phase)
     except (ValueError, TypeError, RecursionError) as error:
         raise HostLoadError("not an announcement") from error
-    if any(type(number) is not int for number in (phase, revision, fence, serial)):
+    if any(type(number) is not int for number in (phase, revision, fencing_token, serial)):
         raise HostLoadError("an announcement holds something other than integers")
-    return HostLoad(known_phase, revision, fence, serial)
+    return HostLoad(known_phase, revision, fencing_token, serial)
 
 
 def merge_load(a: HostLoad, b: HostLoad) -> HostLoad:
-    """Return the newer announcement by fence, then serial: commutative, associative and idempotent."""
-    return max(a, b, key=lambda load: (load.fence, load.serial, load.revision, load.phase))
+    """Return the newer announcement by token, then serial: commutative, associative and idempotent."""
+    return max(a, b, key=lambda load: (load.fencing_token, load.serial, load.revision, load.phase))
--- a/hopsail/weights/outbox.py
+++ b/hopsail/weights/outbox.py
@@ -1,13 +1,14 @@
-"""What a roll-out has to tell data planes and hosts, numbered, until its driver takes it."""
+"""Queue of a roll-out's actions, numbered, until its driver takes them."""
 
-from hopsail.weights.actions import Action, Announce, AskReport, HostInfo, SendOrder, order_body
+from hopsail.weights.actions import Action, Announce, HostInfo, RequestReport, SendOrder, order_body
 from hopsail.weights.load import HostLoad, LoadPhase
 
 
 class Outbox:
-    """Actions in order; orders, reports and announcements share one row of serial numbers."""
+    """Actions in order; orders, reports and announcements share one sequence of serial numbers."""
 
     def __init__(self, owner: str, model: str) -> None:
+        """Create an empty queue for the orders of `owner`."""
         self._owner = owner
         self._model = model
         self._serial = 0
@@ -18,24 +19,24 @@
         self._serial += 1
         return self._serial
 
-    def announce(self, host: str, phase: LoadPhase, revision: int, fence: int) -> None:
-        """Tell the data planes about a host."""
-        self._pending.append(Announce(host, HostLoad(phase, revision, fence, self.next_serial())))
+    def announce(self, host: str, phase: LoadPhase, revision: int, fencing_token: int) -> None:
+        """Announce the load of a host to the data planes."""
+        self._pending.append(Announce(host, HostLoad(phase, revision, fencing_token, self.next_serial())))
 
-    def order(self, host: HostInfo, revision: int, fence: int, serial: int) -> None:
+    def order(self, host: HostInfo, revision: int, fencing_token: int, serial: int) -> None:
         """Order a host to load a revision."""
-        body = order_body(self._model, revision, self._owner, fence)
+        body = order_body(self._model, revision, self._owner, fencing_token)
         self._pending.append(SendOrder(host.identifier, host.address, body, serial))
 
-    def ask(self, host: HostInfo, serial: int) -> None:
-        """Ask a host for its report."""
-        self._pending.append(AskReport(host.identifier, host.address, serial))
+    def request_report(self, host: HostInfo, serial: int) -> None:
+        """Request the report of a host."""
+        self._pending.append(RequestReport(host.identifier, host.address, serial))
 
     def take(self) -> list[Action]:
-        """Return all that is to be done; it is then the driver's."""
+        """Return and remove all actions."""
         actions, self._pending = self._pending, []
         return actions
 
     def clear(self) -> None:
-        """Drop what has not been taken."""
+        """Drop the actions that have not been taken."""
         self._pending = []
--- a/hopsail/weights/progress.py
+++ b/hopsail/weights/progress.py
@@ -1,4 +1,4 @@
-"""State of the load at one host, as the holder of the roll-out keeps it."""
+"""State of the load at one host, owned by the roll-out."""
 
 from enum import Enum
 
@@ -6,56 +6,57 @@
 from hopsail.weights.load import LoadPhase
 from hopsail.weights.rules import RolloutRules
 
-FAILURES_TO_GIVE_UP = 5
-ORDERS_TO_GIVE_UP = 4
+MAX_FAILURES = 5
+MAX_ORDERS = 4
 
 
 class Stage(Enum):
     """What is awaited at a host.
 
-    PREPARING: the first order may soon be sent. REORDERING: a further order may soon be sent. ORDERING: an
-    order is unanswered. POLLING: its report will be asked for. ASKING: its report has been asked for.
+    PREPARING: the first order is due soon. REORDERING: a further order is due soon. ORDERED: an order is
+    unanswered. POLLING: a request for its report is due. REPORT_REQUESTED: such a request is unanswered.
     """
 
     PREPARING = 0
     REORDERING = 1
-    ORDERING = 2
+    ORDERED = 2
     POLLING = 3
-    ASKING = 4
+    REPORT_REQUESTED = 4
 
 
 class Progress:
-    """One host with a load under way.
+    """One host with a load in progress. Times are in nanoseconds.
 
-    `due_at` is when the stage ends by itself, `place_since` since when the host holds one of the places,
-    `accepted` whether the host is known to have taken an order, `orders` how many were sent, `failures` the
-    unclear answers in a row.
+    `due_at` is when the stage ends by itself, `slot_since` when the host took a slot, `accepted` whether the
+    host is known to have accepted an order, `orders` how many were sent, `failures` the unclear answers in a
+    row, `announced` the phase last announced and `renew_at` when to announce it again.
     """
 
     __slots__ = (
-        "host",
-        "stage",
-        "due_at",
-        "revision",
-        "serial",
-        "place_since",
-        "holds_place",
         "accepted",
+        "announced",
+        "due_at",
+        "failures",
+        "holds_slot",
+        "host",
         "ordered_at",
         "orders",
-        "failures",
-        "announced",
         "renew_at",
+        "revision",
+        "serial",
+        "slot_since",
+        "stage",
     )
 
     def __init__(self, host: HostInfo, now: int, revision: int, rules: RolloutRules) -> None:
+        """Begin the load of `revision` in the stage PREPARING."""
         self.host = host
         self.stage = Stage.PREPARING
         self.due_at = now + rules.prepare_ns
         self.revision = revision
         self.serial = 0
-        self.place_since = now
-        self.holds_place = True
+        self.slot_since = now
+        self.holds_slot = True
         self.accepted = False
         self.ordered_at = now
         self.orders = 0
@@ -63,33 +64,33 @@
         self.announced = LoadPhase.IDLE
         self.renew_at = now
 
-    def wait(self, stage: Stage, due_at: int) -> None:
-        """Go over to a stage."""
+    def enter(self, stage: Stage, due_at: int) -> None:
+        """Enter a stage that ends by itself at `due_at`."""
         self.stage = stage
         self.due_at = due_at
 
     def await_answer(self, stage: Stage, serial: int, now: int, rules: RolloutRules) -> None:
-        """Go over to a stage that waits for the answer with this serial."""
+        """Enter a stage that awaits the answer with this serial."""
         self.serial = serial
-        self.wait(stage, now + rules.order_timeout_ns)
+        self.enter(stage, now + rules.order_timeout_ns)
 
     def expects(self, stage: Stage, serial: int | None) -> bool:
         """Whether an answer belongs to what is awaited; None stands for any serial."""
         return self.stage is stage and serial in (None, self.serial)
 
     def fail(self, now: int, rules: RolloutRules) -> None:
-        """Take an unclear answer: ask for the report after a pause."""
+        """Count an unclear answer; the report is requested after a backoff."""
         self.failures += 1
-        self.wait(Stage.POLLING, now + rules.back_off_ns(self.failures))
+        self.enter(Stage.POLLING, now + rules.backoff_ns(self.failures))
 
-    def place_ends(self, rules: RolloutRules) -> int:
-        """Return when the host loses its place to others."""
-        return self.place_since + rules.place_ns
+    def slot_expires_at(self, rules: RolloutRules) -> int:
+        """Return when the host loses its slot to others."""
+        return self.slot_since + rules.slot_ns
 
     def is_hopeless(self, now: int, rules: RolloutRules) -> bool:
-        """Whether to begin anew later: its time is over, and it has taken no order or reports nothing."""
-        if now < self.place_ends(rules):
+        """Whether to begin anew later: its slot has expired, and it accepted no order or reports nothing."""
+        if now < self.slot_expires_at(rules):
             return False
-        if not self.accepted or self.failures >= FAILURES_TO_GIVE_UP:
+        if not self.accepted or self.failures >= MAX_FAILURES:
             return True
-        return self.orders >= ORDERS_TO_GIVE_UP
+        return self.orders >= MAX_ORDERS
--- a/hopsail/weights/report.py
+++ b/hopsail/weights/report.py
@@ -1,17 +1,17 @@
-"""Reading of a host's report, as far as the roll-out needs it."""
+"""Parser of a host's report, as far as the roll-out needs it."""
 
-from typing import Any, NamedTuple
+from typing import NamedTuple
 
 
 class LoadReport(NamedTuple):
-    """The revision held, and whether an order is under way; some hundred milliseconds old."""
+    """The loaded revision, and whether an order is in progress; some hundred milliseconds old."""
 
     revision: int
     saturated: bool
 
 
-def read_report(report: Any, model: str) -> LoadReport | None:
-    """Return what a report says about `model`, None when it says nothing usable."""
+def parse_report(report: object, model: str) -> LoadReport | None:
+    """Return what a report, as parsed JSON, says about `model`; None when it says nothing usable."""
     if not isinstance(report, dict):
         return None
     saturated = report.get("Saturated")
--- a/hopsail/weights/retries.py
+++ b/hopsail/weights/retries.py
@@ -1,4 +1,4 @@
-"""When hosts whose load failed may be begun again."""
+"""Backoff of hosts whose load failed."""
 
 from collections.abc import Container
 
@@ -6,7 +6,7 @@
 
 
 class _Retry:
-    __slots__ = ("not_before", "failures")
+    __slots__ = ("failures", "not_before")
 
     def __init__(self) -> None:
         self.not_before = 0  # ns
@@ -14,20 +14,21 @@
 
 
 class Retries:
-    """Pauses by host, which grow with the failures in a row."""
+    """Backoff by host, which grows with the failures in a row."""
 
     def __init__(self, rules: RolloutRules) -> None:
+        """Create an empty record of failures."""
         self._rules = rules
         self._retries: dict[str, _Retry] = {}
 
-    def failed(self, now: int, identifier: str, pause_ns: int) -> None:
-        """Take a failure; the pause is as many times as long as there were failures, up to a bound."""
+    def record_failure(self, now: int, identifier: str, backoff_ns: int) -> None:
+        """Count a failure; the backoff is `backoff_ns` times the failures, up to a bound."""
         retry = self._retries.setdefault(identifier, _Retry())
         retry.failures += 1
-        retry.not_before = now + min(pause_ns * retry.failures, max(pause_ns, self._rules.retry_max_ns))
+        retry.not_before = now + min(backoff_ns * retry.failures, max(backoff_ns, self._rules.retry_max_ns))
 
     def not_before(self, identifier: str) -> int:
-        """Return when a host may be begun again, 0 when it has not failed."""
+        """Return when a load of the host may begin again (ns), 0 when it has not failed."""
         retry = self._retries.get(identifier)
         return retry.not_before if retry else 0
 
@@ -36,14 +37,14 @@
         retry = self._retries.get(identifier)
         return retry.failures if retry else 0
 
-    def forget(self, identifier: str) -> None:
-        """Take a success."""
+    def record_success(self, identifier: str) -> None:
+        """Reset the backoff of a host."""
         self._retries.pop(identifier, None)
 
-    def keep(self, known: Container[str]) -> None:
-        """Forget the hosts that are not known any more."""
+    def retain(self, known: Container[str]) -> None:
+        """Drop the hosts that are not known any more."""
         self._retries = {name: retry for name, retry in self._retries.items() if name in known}
 
     def clear(self) -> None:
-        """Forget all."""
+        """Drop all hosts."""
         self._retries = {}
--- a/hopsail/weights/target.py
+++ b/hopsail/weights/target.py
@@ -1,13 +1,15 @@
-"""The named versions of the models' weights, which hosts are to be brought to."""
+"""The target versions of the models' weights, as the operator named them."""
 
 import json
 
+from hopsail.errors import HopsailError
+
 MAX_MODELS = 4096
 MAX_NAME_LENGTH = 512
 FIRST_REVISION = 1
 
 
-class TargetError(ValueError):
+class TargetError(HopsailError, ValueError):
     """A version can't be named, or stored targets can't be read."""
 
 
@@ -15,13 +17,16 @@
     """The highest named revision of each model; it only rises."""
 
     def __init__(self) -> None:
+        """Create targets without any model."""
         self._revisions: dict[str, int] = {}
 
     def name(self, model: str, revision: int) -> bool:
         """Name a version; return whether it raised the target.
 
         False means that this one or a newer one has been named before, which is answered like a success.
-        Raises `TargetError` when the version is not valid or there are too many models.
+
+        Raises:
+            TargetError: the version is not valid, or there are too many models.
         """
         _check(model, revision)
         current = self._revisions.get(model)
@@ -46,7 +51,11 @@
 
     @classmethod
     def decode(cls, data: bytes) -> "WeightTargets":
-        """Read what `encode` wrote; raises `TargetError`."""
+        """Read what `encode` wrote.
+
+        Raises:
+            TargetError: the bytes are not encoded targets.
+        """
         try:
             stored = json.loads(data)
         except (ValueError, RecursionError) as error:
--- a/tests/golden/test_golden_weights.py
+++ b/tests/golden/test_golden_weights.py
@@ -11,9 +11,9 @@
 
 from hopsail.hosts.instance import Address, Phase
 from hopsail.weights.actions import Announce, HostInfo, SendOrder, order_body
-from hopsail.weights.eligibility import EligibilityBounds, SeenLoad, eligible, held_revision
+from hopsail.weights.eligibility import EligibilityBounds, SeenLoad, eligible, loaded_revision
 from hopsail.weights.load import HostLoad, LoadPhase, decode_load, encode_load, merge_load
-from hopsail.weights.named import NamedRevisions
+from hopsail.weights.named_revisions import NamedRevisions
 from hopsail.weights.rollout import Rollout, RolloutRules
 from hopsail.weights.target import WeightTargets
 from paths import DATA
@@ -153,16 +153,18 @@
 
     def order(self, action):
         if self.draw.random() < 0.08:
-            self.later(lambda: self.rollout.order_answered(self.now, action.host, None, action.serial))
+            self.later(lambda: self.rollout.receive_order_status(self.now, action.host, None, action.serial))
             return
         status = self.hosts[action.host].answer_order(self.now, action.body)
         for _ in range(self.draw.choice((0, 1, 1, 1, 1, 2))):
-            self.later(lambda: self.rollout.order_answered(self.now, action.host, status, action.serial))
+            self.later(
+                lambda: self.rollout.receive_order_status(self.now, action.host, status, action.serial)
+            )
 
     def report(self, action):
         report = self.hosts[action.host].report(self.now)
         for _ in range(self.draw.choice((0, 1, 1, 1, 1, 2))):
-            self.later(lambda: self.rollout.report_answered(self.now, action.host, report, action.serial))
+            self.later(lambda: self.rollout.receive_report(self.now, action.host, report, action.serial))
 
     def later(self, call):
         at = self.now + self.draw.randrange(5, 500) * MS
@@ -204,7 +206,7 @@
         verdict = eligible(now, revision, load, named, bounds).value
         required = named.required(now, bounds.send_ns)
         digest.update(
-            compact([verdict, held_revision(revision, load), required, named.superseded_at(revision)])
+            compact([verdict, loaded_revision(revision, load), required, named.superseded_at(revision)])
         )
         digest.update(encode_load(load.load) if load else b"")
     return digest.hexdigest()
--- a/tests/test_rules_of_pages.py
+++ b/tests/test_rules_of_pages.py
@@ -311,7 +311,7 @@
     def __init__(self):
         self.statuses = []
 
-    def order_answered(self, now, host, status, serial):
+    def receive_order_status(self, now, host, status, serial):
         self.statuses.append(status)
 
 
--- a/tests/test_several_models.py
+++ b/tests/weights/test_several_models.py
@@ -3,8 +3,6 @@
 from dataclasses import replace
 
 import pytest
-from test_controlplane_rollouts import MODEL, MS, SERVICE, Plane
-from test_dataplane_placement import Fleet, instance, prompt, told
 
 from hopsail.configuration.view import RouteTable
 from hopsail.controlplane.commands import Command, CommandKind
@@ -13,6 +11,8 @@
 from hopsail.hosts.instance import ModelRevision
 from hopsail.http.message import Response
 from hopsail.weights.load import HostLoad, LoadPhase, encode_load
+from test_controlplane_rollouts import MODEL, MS, SERVICE, Plane
+from test_dataplane_placement import Fleet, instance, prompt, told
 
 OTHER = "m-2"
 
--- a/tests/test_superseded_weights.py
+++ b/tests/weights/test_superseded_weights.py
@@ -3,6 +3,14 @@
 from random import Random
 
 import pytest
+
+from hopsail.feed.journal import Change
+from hopsail.feed.topics import Topic
+from hopsail.hosts.instance import Address, ModelRevision, Phase
+from hopsail.weights.actions import SendOrder
+from hopsail.weights.load import HostLoad, LoadPhase, encode_load
+from hopsail.weights.named_revisions import MAX_NAMED, NamedRevisions
+from hopsail.weights.rollout import HostInfo, Rollout, RolloutRules
 from test_controlplane_rollouts import MODEL, Plane
 from test_dataplane_forward import (
     ONCE,
@@ -18,14 +26,6 @@
 from test_dataplane_forward import instance as host_instance
 from test_dataplane_placement import Fleet, instance
 
-from hopsail.feed.journal import Change
-from hopsail.feed.topics import Topic
-from hopsail.hosts.instance import Address, ModelRevision, Phase
-from hopsail.weights.actions import SendOrder
-from hopsail.weights.load import HostLoad, LoadPhase, encode_load
-from hopsail.weights.named import MOST_NAMED, NamedRevisions
-from hopsail.weights.rollout import HostInfo, Rollout, RolloutRules
-
 MS = 1_000_000
 S = 1_000 * MS
 ALLOWED = 6_500 * MS  # from the naming of a version until no request goes to a host without it
@@ -114,7 +114,7 @@
     return revisions
 
 
-def test_a_control_process_tells_which_versions_time_is_over():
+def test_a_control_process_reports_which_versions_time_is_over():
     control = Plane()  # its host never shows a load
     control.name(2)
     control.run(4 * S)
@@ -180,7 +180,7 @@
     revisions = NamedRevisions(8 * S)
     for number in range(10_000):
         revisions.name(number * MS, number + 2)
-    assert len(revisions) <= MOST_NAMED
+    assert len(revisions) <= MAX_NAMED
     for held in range(1, 10_001, 7):
         assert revisions.superseded_at(held) <= max(0, held - 1) * MS
     assert revisions.superseded_at(10_001) is None
