--- a/hopsail/__main__.py
+++ b/hopsail/__main__.py
@@ -4,7 +4,7 @@
     # Before all else is imported: a restart or a reload may be told to a process that has only begun.
     from . import early
 
-    early.listen()
+    early.record_signals()
 
 import argparse
 import gc
--- a/hopsail/commands.py
+++ b/hopsail/commands.py
@@ -100,7 +100,7 @@
 def version() -> str:
     """The version of the project: of this tree, else of the installed distribution."""
     try:
-        return tomllib.loads(PROJECT_FILE.read_text())["project"]["version"]
+        return str(tomllib.loads(PROJECT_FILE.read_text())["project"]["version"])
     except (OSError, KeyError, tomllib.TOMLDecodeError):
         return importlib.metadata.version(DISTRIBUTION)
 
--- a/hopsail/dataplane/command_line.py
+++ b/hopsail/dataplane/command_line.py
@@ -4,6 +4,7 @@
 
 from dataclasses import dataclass, field
 from enum import StrEnum
+from functools import partial
 from typing import Annotated
 
 import cappa
@@ -48,7 +49,7 @@
         if not self.without and not self.log_late:
             return super().__call__()
         parameters = PlacementParameters().without(one.value for one in self.without)
-        main(DataPlane, parameters=parameters, log_late=self.log_late)
+        main(DataPlane, partial(DataPlane, parameters=parameters, log_late=self.log_late))
         return 0
 
 
--- a/hopsail/dataplane/plane.py
+++ b/hopsail/dataplane/plane.py
@@ -143,8 +143,8 @@
             self.loop, address, self.handle, self.limits, self._refused_unread, self._beyond_limits
         )
 
-    def renewed(self, settings: ProcessSettings) -> None:
-        super().renewed(settings)
+    def apply_settings(self, settings: ProcessSettings) -> None:
+        super().apply_settings(settings)
         self.controls.renew_seeds(self.seeds)
 
     def stop(self) -> None:
--- a/hopsail/net/loop.py
+++ b/hopsail/net/loop.py
@@ -74,7 +74,7 @@
             self.watch(self.heard, READ, self._hear)
         self.signals[number] = act
         signal.signal(number, lambda *_: None)
-        if early.take(number):  # it came while the program was starting
+        if early.take_signal(number):  # it came while the program was starting
             self.soon(act)
 
     def _hear(self, _):
--- a/hopsail/process.py
+++ b/hopsail/process.py
@@ -1,10 +1,10 @@
-"""What both programs of the system share: settings from the file, signals, the loop, shutdown, counters."""
+"""What both programs of the router fleet share: settings, signals, the loop, shutdown, counters."""
 
 import gc
 import os
 import signal
 import sys
-from collections.abc import Mapping
+from collections.abc import Callable, Mapping
 from pathlib import Path
 from time import monotonic_ns
 
@@ -16,7 +16,7 @@
 from .event_log import get_logger
 from .membership.node import Membership
 from .net.counters import Counters
-from .net.loop import Loop
+from .net.loop import Loop, Timer
 
 state_log = get_logger("state")
 settings_log = get_logger("settings")
@@ -25,14 +25,20 @@
 FAULTY_SETTINGS = 2  # exit status
 FLEET = "hopsail-1"  # own protocol's name and version: others are dropped
 MILLISECOND = 1_000_000
-COUNTERS_EVERY_MS = 10_000
-LOOK_AT_SETTINGS_EVERY_MS = 2_000
+COUNTERS_INTERVAL_MS = 10_000
+SETTINGS_POLL_MS = 2_000
 COLLECTOR_THRESHOLDS = (50_000, 20, 50)  # large views cost the cyclic collector more than it finds in them
 FAILED_START = 1  # exit status: an address is in use, or the disk can't be read
 
 
 def read_settings() -> ProcessSettings:
-    """The settings of this process; SettingsError or OSError when there are none that can be used."""
+    """The settings of this process, from the file that the environment names.
+
+    Raises:
+        SettingsError: a line or a value of the file is wrong.
+        OSError: the file can't be read.
+        KeyError: the environment names no file.
+    """
     try:
         text = Path(os.environ[SETTINGS_VARIABLE]).read_text(encoding="utf-8")
     except UnicodeDecodeError as error:
@@ -45,11 +51,15 @@
 
 
 class Program:
-    """A process of the system. Subclasses start their servers in `start` and end in `stop`."""
+    """A process of the fleet. Subclasses start their servers in `start` and end in `stop`.
+
+    `started_at` is the process's start by the loop's clock (ns).
+    """
 
     needed_settings: Mapping[str, str] = {}  # fields of the settings that must be there, and their keys
 
-    def __init__(self, settings: ProcessSettings):
+    def __init__(self, settings: ProcessSettings) -> None:
+        """Makes the loop and takes over the signals."""
         self.settings = settings
         self.loop = Loop()
         self.started_at = self.loop.now()  # ns; what ran here before had ended by then
@@ -63,12 +73,12 @@
 
     def show_regularly(self) -> None:
         """Prints the counters from time to time: they are the first thing to look at."""
-        self.after(COUNTERS_EVERY_MS, self.show_regularly)
+        self.after(COUNTERS_INTERVAL_MS, self.show_regularly)
         self.show_counters("regular")
 
     def watch_settings(self) -> None:
         """Takes over a settings file that has changed, with or without a signal."""
-        self.after(LOOK_AT_SETTINGS_EVERY_MS, self.watch_settings)
+        self.after(SETTINGS_POLL_MS, self.watch_settings)
         if _settings_changed_at() != self.settings_changed_at:
             self._reload()
 
@@ -100,11 +110,12 @@
         )
         return self.membership
 
-    def renewed(self, settings: ProcessSettings) -> None:
-        """The settings file has changed."""
+    def apply_settings(self, settings: ProcessSettings) -> None:
+        """Applies settings that have changed: the seeds; all else needs a new start."""
         self.membership.renew_seeds(self.seeds)
 
     def terminate(self) -> None:
+        """Begins the shutdown, once."""
         if not self.stopping:
             self.stopping = True
             state_log.info("stopping")
@@ -116,6 +127,7 @@
         self.loop.stop()
 
     def show_counters(self, why: str = "asked") -> None:
+        """Logs the counters; `why` is "regular", "asked" or "end"."""
         self.counters.print(why, **self.figures())
 
     def figures(self) -> dict[str, int]:
@@ -133,10 +145,10 @@
             settings_log.warning("not taken: %s", missing[0])
             return
         self.settings = settings
-        self.renewed(settings)
+        self.apply_settings(settings)
 
-    def after(self, milliseconds: float, act):
-        """Calls `act` after so many milliseconds."""
+    def after(self, milliseconds: float, act: Callable[[], object]) -> Timer:
+        """Calls `act` after so many milliseconds; the timer can be cancelled."""
         return self.loop.at(self.loop.now() + int(milliseconds * MILLISECOND), act)
 
 
@@ -148,20 +160,24 @@
         return 0
 
 
-def main(program: type[Program], **options) -> None:
-    """Runs a program with the settings of its environment, and with options that it takes besides."""
-    early.listen()
+def main(program: type[Program], make: Callable[[ProcessSettings], Program] | None = None) -> None:
+    """Runs a program with the settings of its environment; never returns.
+
+    `make` makes the program where it takes more than its settings. Exit status: `FAULTY_SETTINGS` or
+    `FAILED_START` after one line on standard error, 0 after a shutdown.
+    """
+    early.record_signals()
     try:
         settings = read_settings()
     except (SettingsError, OSError, KeyError) as error:
         print(f"hopsail: settings: {error}", file=sys.stderr)
         sys.exit(FAULTY_SETTINGS)
     if missing := missing_settings(program.needed_settings, settings):
-        for error in missing:
-            print(f"hopsail: settings: {error}", file=sys.stderr)
+        for fault in missing:
+            print(f"hopsail: settings: {fault}", file=sys.stderr)
         sys.exit(FAULTY_SETTINGS)
     event_sink.install()
-    running = program(settings, **options)
+    running = (make or program)(settings)
     running.started_at = running.loop.now() - (monotonic_ns() - early.started_at)
     try:
         running.start()
@@ -171,7 +187,7 @@
     running.watch_settings()
     gc.freeze()  # what is there now stays for good
     gc.set_threshold(*COLLECTOR_THRESHOLDS)
-    running.after(COUNTERS_EVERY_MS, running.show_regularly)
+    running.after(COUNTERS_INTERVAL_MS, running.show_regularly)
     running.loop.run()
     sys.stderr.flush()
     os._exit(0)  # the disk's thread may hang in a call; all that must be kept is synced
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -24,7 +24,7 @@
         super().__init__(settings)
         self.taken = []
 
-    def renewed(self, settings):
+    def apply_settings(self, settings):
         self.taken.append(settings.seeds)
 
 
@@ -110,7 +110,7 @@
             raise error
 
     monkeypatch.setattr("hopsail.event_sink.install", lambda: None)
-    monkeypatch.setattr("hopsail.early.listen", lambda: None)
+    monkeypatch.setattr("hopsail.early.record_signals", lambda: None)
     with pytest.raises(SystemExit) as ended:
         process.main(Failing)
     assert ended.value.code == process.FAILED_START
@@ -119,7 +119,7 @@
 
 def test_a_start_with_a_file_that_is_no_text_ends_with_one_line(file, monkeypatch, capsys):
     file.write_bytes(b"\xff\xfe")
-    monkeypatch.setattr("hopsail.early.listen", lambda: None)
+    monkeypatch.setattr("hopsail.early.record_signals", lambda: None)
     with pytest.raises(SystemExit) as ended:
         process.main(Running)
     assert ended.value.code == process.FAULTY_SETTINGS
@@ -128,7 +128,7 @@
 
 def test_a_start_without_a_needed_key_names_it(file, monkeypatch, capsys):
     change(file, TEXT)
-    monkeypatch.setattr("hopsail.early.listen", lambda: None)
+    monkeypatch.setattr("hopsail.early.record_signals", lambda: None)
     with pytest.raises(SystemExit) as ended:
         process.main(Running)
     assert ended.value.code == process.FAULTY_SETTINGS
