--- a/hopsail/controlplane/commands.py
+++ b/hopsail/controlplane/commands.py
@@ -1,4 +1,4 @@
-"""Commands of the replicated parts, their results, and how both are encoded for the log and for own peers."""
+"""Commands of the replicated shards and their results, with their encodings for the log and for peers."""
 
 import json
 from enum import IntEnum
@@ -6,13 +6,13 @@
 
 
 class CommandKind(IntEnum):
-    """What a log entry asks of a part's state."""
+    """What a log entry asks of a shard's state."""
 
     PUT_CONFIGURATION = 1
     PATCH_CONFIGURATION = 2
     NAME_REVISION = 3
-    ACQUIRE_DUTY = 4
-    RELEASE_DUTY = 5
+    ACQUIRE_ROLE = 4
+    RELEASE_ROLE = 5
 
 
 class Command(NamedTuple):
--- a/hopsail/controlplane/compaction.py
+++ b/hopsail/controlplane/compaction.py
@@ -1,4 +1,4 @@
-"""Encodes and decodes a part's state in steps, between which the loop does other work. No I/O."""
+"""Encodes and decodes a shard's state in steps, between which the loop does other work. No I/O."""
 
 import json
 from collections.abc import Generator, Iterable, Iterator, Mapping
@@ -6,15 +6,15 @@
 from sys import intern
 from typing import Any
 
-ITEMS_A_STEP = 64
-ITEMS_READ_A_STEP = 2000
-BYTES_AT_ONCE = 64 << 10
+MAX_ITEMS_ENCODED_PER_STEP = 64
+MAX_ITEMS_DECODED_PER_STEP = 2000
+MAX_BYTES_PER_STEP = 64 << 10
 SLICED_DEPTH = 2  # of mappings in mappings whose values are encoded by themselves
 
 
-def json_steps(value: Any, depth: int = SLICED_DEPTH) -> Iterator[bytes]:
+def json_encode_steps(value: Any, depth: int = SLICED_DEPTH) -> Iterator[bytes]:
     """The JSON of a tree, a few items at a time; the tree must stay as it is until the end."""
-    if type(value) is dict and depth and len(value) <= ITEMS_A_STEP:
+    if type(value) is dict and depth and len(value) <= MAX_ITEMS_ENCODED_PER_STEP:
         yield from _members(value, depth)
     elif type(value) is dict:
         yield from _joined(b"{", (_json(dict(some)) for some in _batches(value.items())), b"}")
@@ -26,7 +26,7 @@
 
 def _batches(items: Iterable[Any]) -> Iterator[list[Any]]:
     remaining = iter(items)
-    while batch := list(islice(remaining, ITEMS_A_STEP)):
+    while batch := list(islice(remaining, MAX_ITEMS_ENCODED_PER_STEP)):
         yield batch
 
 
@@ -34,7 +34,7 @@
     before = b"{"
     for key, item in value.items():
         yield before + _json(key) + b":"
-        yield from json_steps(item, depth - 1)
+        yield from json_encode_steps(item, depth - 1)
         before = b","
     yield b"}" if value else b"{}"
 
@@ -59,27 +59,27 @@
     return json.dumps(value, separators=(",", ":")).encode()
 
 
-def reading_json(data: bytes) -> Generator[None, None, Any]:
-    """What `json.loads` makes of the output of `json_steps`, in steps; raises ValueError."""
+def json_decode_steps(data: bytes) -> Generator[None, None, Any]:
+    """What `json.loads` makes of the output of `json_encode_steps`, in steps; raises ValueError."""
     text = data.decode()
-    value, end = yield from _reading(text, 0, SLICED_DEPTH)
+    value, end = yield from _decode_steps(text, 0, SLICED_DEPTH)
     if end != len(text):
         raise ValueError(f"more follows at {end}")
     return value
 
 
-Read = Generator[None, None, tuple[Any, int]]  # a value, and where the text goes on
+DecodedSteps = Generator[None, None, tuple[Any, int]]  # a value, and where the text goes on
 
 
-def _reading(text: str, start: int, depth: int) -> Read:
+def _decode_steps(text: str, start: int, depth: int) -> DecodedSteps:
     if text.startswith("[", start):
-        return (yield from _reading_list(text, start + 1))
+        return (yield from _decode_list_steps(text, start + 1))
     if depth and text.startswith("{", start):
-        return (yield from _reading_object(text, start + 1, depth - 1))
+        return (yield from _decode_object_steps(text, start + 1, depth - 1))
     return _read(text, start)
 
 
-def _reading_list(text: str, start: int) -> Read:
+def _decode_list_steps(text: str, start: int) -> DecodedSteps:
     items: list[Any] = []
     if text.startswith("]", start):
         return items, start + 1
@@ -89,11 +89,11 @@
         if _ends(text, start, "]"):
             return items, start + 1
         start += 1
-        if len(items) % ITEMS_READ_A_STEP == 0:
+        if len(items) % MAX_ITEMS_DECODED_PER_STEP == 0:
             yield
 
 
-def _reading_object(text: str, start: int, depth: int) -> Read:
+def _decode_object_steps(text: str, start: int, depth: int) -> DecodedSteps:
     members: dict[str, Any] = {}
     if text.startswith("}", start):
         return members, start + 1
@@ -102,13 +102,13 @@
         if not text.startswith(":", start):
             raise ValueError(f"no value at {start}")
         if text.startswith(("[", "{"), start + 1):
-            members[key], start = yield from _reading(text, start + 1, depth)
+            members[key], start = yield from _decode_steps(text, start + 1, depth)
         else:
             members[key], start = _read(text, start + 1)
         if _ends(text, start, "}"):
             return members, start + 1
         start += 1
-        if len(members) % ITEMS_READ_A_STEP == 0:
+        if len(members) % MAX_ITEMS_DECODED_PER_STEP == 0:
             yield
 
 
@@ -129,12 +129,12 @@
         self._steps = steps
         self._encoded: list[bytes] = []
 
-    def go_on(self) -> bytes | None:
+    def advance(self) -> bytes | None:
         """Encode some more; the whole once it is done."""
         size = 0
         for encoded in self._steps:
             self._encoded.append(encoded)
             size += len(encoded)
-            if size >= BYTES_AT_ONCE:
+            if size >= MAX_BYTES_PER_STEP:
                 return None
         return b"".join(self._encoded)
--- a/hopsail/controlplane/configuration_feed.py
+++ b/hopsail/controlplane/configuration_feed.py
@@ -1,4 +1,4 @@
-"""The configuration's way from the state of part 0 into the feed. No I/O.
+"""The configuration's way from the state of shard 0 into the feed. No I/O.
 
 A change costs its items. A whole configuration is fed in slices, with heartbeats sent in between; until
 its last slice the feed tells no revision, and who follows takes nothing of it."""
--- a/hopsail/controlplane/configuration_state.py
+++ b/hopsail/controlplane/configuration_state.py
@@ -1,4 +1,4 @@
-"""The state of part 0: the operator's configuration, and which changes have been taken. No I/O."""
+"""The state of shard 0: the operator's configuration, and which changes have been taken. No I/O."""
 
 import json
 import re
@@ -17,10 +17,10 @@
 from ..configuration.indexed import ConfigurationIndex
 from ..configuration.types import Configuration, Patch
 from .commands import Command, CommandKind, Result
-from .compaction import json_steps, reading_json
+from .compaction import json_encode_steps, json_decode_steps
 
-TAKEN_KEPT = 4096  # changes whose bytes' digests are remembered, for calls that are sent again
-LARGE_BYTES = 64 << 10  # of a body whose reading is a step of its own
+MAX_DIGESTS = 4096  # changes whose bytes' digests are remembered, for calls that are sent again
+MIN_LARGE_BODY_BYTES = 64 << 10  # of a body whose reading is a step of its own
 OK, PRECONDITION_FAILED, UNAVAILABLE = 200, 412, 503
 ESCAPED_SURROGATE = re.compile(rb"\\u[dD][89a-fA-F]")  # alone it is no text that the feed could carry
 
@@ -92,7 +92,7 @@
 
     def _judging_content(self, command: Command) -> Generator[None, None, tuple]:
         """The result, what it puts in force, and the index of a whole configuration."""
-        if len(command.body) > LARGE_BYTES:
+        if len(command.body) > MIN_LARGE_BODY_BYTES:
             yield  # to have read it in whole was a step by itself
         try:
             if command.kind is CommandKind.PUT_CONFIGURATION:
@@ -128,7 +128,7 @@
         if content is not None:
             self._take(judged)
             self.taken[judged.digest] = content["Revision"]
-            while len(self.taken) > TAKEN_KEPT:
+            while len(self.taken) > MAX_DIGESTS:
                 self.forgotten = self.taken.pop(next(iter(self.taken)))
         return result
 
@@ -151,7 +151,7 @@
             "taken": dict(self.taken),
             "forgotten": self.forgotten,
         }
-        return json_steps(tree)
+        return json_encode_steps(tree)
 
     @classmethod
     def decode(cls, data: bytes) -> "ConfigurationState":
@@ -161,7 +161,7 @@
     @classmethod
     def decoding(cls, data: bytes) -> Generator[None, None, "ConfigurationState"]:
         """`decode` in steps, between which other work may be done."""
-        state, tree = cls(), (yield from reading_json(data))
+        state, tree = cls(), (yield from json_decode_steps(data))
         state.taken, state.forgotten = tree["taken"], tree["forgotten"]
         if tree["configuration"] is not None:
             state._index = yield from ConfigurationIndex.building(tree["configuration"])
--- a/hopsail/controlplane/contact.py
+++ b/hopsail/controlplane/contact.py
@@ -19,17 +19,17 @@
 CONFIRM = "confirm"  # the method's name
 
 MILLISECOND = 1_000_000
-ASK_EVERY = 250 * MILLISECOND
-ASK_AGAIN_AFTER = 50 * MILLISECOND  # while there is no word, or it is old
-ASK_WITHIN = 1700 * MILLISECOND  # as for a poll on the same connection, which ends when nothing comes
-WORD_SPACING = 250 * MILLISECOND
-MOST_WAITING = 8  # answers whose index is not applied yet
+CONFIRM_INTERVAL_NS = 250 * MILLISECOND
+RETRY_INTERVAL_NS = 50 * MILLISECOND  # while there is no word, or it is old
+CALL_TIMEOUT_NS = 1700 * MILLISECOND  # as for a poll on the same connection, which ends when nothing comes
+MIN_SPACING_NS = 250 * MILLISECOND
+MAX_PENDING = 8  # answers whose index is not applied yet
 NEVER = -1
-LONGEST_AGE_MS = 1 << 30
+MAX_AGE_MS = 1 << 30
 
 
 class ConfirmCall(Struct):
-    """Asks the leader of part 0 what is committed."""
+    """Asks the leader of shard 0 what is committed."""
 
     thrift_spec = spec()
 
@@ -43,15 +43,15 @@
     thrift_spec = spec(boolean(1, "confirmed"), i64(2, "commit_index"))
 
 
-class _Word(NamedTuple):
-    asked_at: int  # ns
+class _Confirmation(NamedTuple):
+    sent_at: int  # ns
     commit_index: int
 
 
 class MajorityContact:
     """Renewed by `tick` and by each look at its age. `is_fed()`: what is applied is told, too.
 
-    `regained()` is called when there is word again after `longest_ago` ns without, or for the first time."""
+    `regained()` is called when there is word again after `max_age` ns without, or for the first time."""
 
     def __init__(
         self,
@@ -59,15 +59,15 @@
         replica: Replica,
         channel: Callable[[str], Channel],
         is_fed: Callable[[], bool],
-        longest_ago: int,
+        max_age: int,
         regained: Callable[[], None],
     ) -> None:
         self._loop, self._replica, self._channel, self._is_fed = loop, replica, channel, is_fed
-        self._longest_ago, self._regained = longest_ago, regained
+        self._longest_ago, self._regained = max_age, regained
         self._confirmed_at: int | None = None  # ns
-        self._waiting: deque[_Word] = deque()
-        self._ask_at = 0  # ns
-        self._asked: str | None = None  # the leader that was asked last
+        self._pending: deque[_Confirmation] = deque()
+        self._confirm_at = 0  # ns
+        self._last_leader: str | None = None  # the leader that was asked last
         self._was_recent = False
 
     def tick(self) -> None:
@@ -79,8 +79,8 @@
             self._regained()
         self._was_recent = is_recent
         leader = self._replica.leader
-        if now >= self._ask_at or leader != self._asked:
-            self._ask(now, leader)
+        if now >= self._confirm_at or leader != self._last_leader:
+            self._confirm(now, leader)
 
     def is_recent(self, now: int) -> bool:
         """Whether there was word within the longest time."""
@@ -92,7 +92,7 @@
         self._renew(now)
         if self._confirmed_at is None:
             return NEVER
-        return min((now - self._confirmed_at) // MILLISECOND, LONGEST_AGE_MS)
+        return min((now - self._confirmed_at) // MILLISECOND, MAX_AGE_MS)
 
     def answer(self, argument: ConfirmCall, respond, peer) -> None:
         """Another process asks."""
@@ -103,29 +103,29 @@
     def _renew(self, now: int) -> None:
         replica = self._replica
         if replica.lease_valid(now):
-            self._wait_for(_Word(now, replica.commit_index))
-        while self._waiting and self._waiting[0].commit_index <= replica.applied_index and self._is_fed():
-            word = self._waiting.popleft()
-            self._confirmed_at = max(word.asked_at, self._confirmed_at or 0)
+            self._add_pending(_Confirmation(now, replica.commit_index))
+        while self._pending and self._pending[0].commit_index <= replica.applied_index and self._is_fed():
+            confirmation = self._pending.popleft()
+            self._confirmed_at = max(confirmation.sent_at, self._confirmed_at or 0)
 
-    def _wait_for(self, word: _Word) -> None:
+    def _add_pending(self, confirmation: _Confirmation) -> None:
         """The newest takes the place of the one before it if that is close to its own predecessor, or there
         are too many. The oldest stays: or none might ever count while changes come all the time."""
-        waiting = self._waiting
-        is_close = len(waiting) > 1 and waiting[-1].asked_at - waiting[-2].asked_at < WORD_SPACING
-        if is_close or len(waiting) >= MOST_WAITING:
-            waiting.pop()
-        waiting.append(word)
-
-    def _ask(self, now: int, leader: str | None) -> None:
-        self._asked = leader
+        pending = self._pending
+        is_close = len(pending) > 1 and pending[-1].sent_at - pending[-2].sent_at < MIN_SPACING_NS
+        if is_close or len(pending) >= MAX_PENDING:
+            pending.pop()
+        pending.append(confirmation)
+
+    def _confirm(self, now: int, leader: str | None) -> None:
+        self._last_leader = leader
         if leader is None or leader == self._replica.identity:
             return
-        self._ask_at = now + (ASK_EVERY if self.is_recent(now) else ASK_AGAIN_AFTER)
-        asked_at = now
+        self._confirm_at = now + (CONFIRM_INTERVAL_NS if self.is_recent(now) else RETRY_INTERVAL_NS)
+        sent_at = now
 
         def answered(reply: ConfirmReply | None, error) -> None:
             if reply is not None and reply.confirmed:
-                self._wait_for(_Word(asked_at, reply.commit_index))
+                self._add_pending(_Confirmation(sent_at, reply.commit_index))
 
-        self._channel(leader).call(CONFIRM, ConfirmCall(), ConfirmReply, answered, ASK_WITHIN)
+        self._channel(leader).call(CONFIRM, ConfirmCall(), ConfirmReply, answered, CALL_TIMEOUT_NS)
--- a/hopsail/controlplane/decisions.py
+++ b/hopsail/controlplane/decisions.py
@@ -1,4 +1,4 @@
-"""Commands and reads at a control process: offered to the part's leader, decided and confirmed there.
+"""Commands and reads at a control process: offered to the shard's leader, decided and confirmed there.
 
 No clock decides anything here. A change is acknowledged by its entry: committed, synced by a majority, and
 applied. All else that is told of a configuration (a refusal, a change that was taken before, a read) is told
@@ -13,73 +13,73 @@
 from ..configuration.codes import ResultCode
 from ..configuration.items import canonical
 from ..replication.state import ReadToken
-from .calls import CALL_TIMEOUT, Reading, Submission
+from .forwarding import CALL_TIMEOUT_NS, ConfigurationRead, Submission
 from .commands import Command, Result, decode_command
 from .messages import CommandCall, CommandReply, ReadCall, ReadReply
-from .part import Done, Part
-from .parts import CONFIGURATION_PART
+from .shard import Done, Shard
+from .shards import CONFIGURATION_SHARD
 
-LOOK_AGAIN_MS = 5  # whether a round is confirmed
-STEP_PAUSE_MS = 1  # between the steps of a judgement
+CHECK_INTERVAL_MS = 5  # whether a round is confirmed
+STEP_INTERVAL_MS = 1  # between the steps of a judgement
 
 
 class Decisions:
     """What a control process does with commands and reads, its own and those of other processes.
 
-    Mixed into the process, which has `parts`, `loop`, `after`, `counters` and the channels to the others."""
+    Mixed into the process, which has `shards`, `loop`, `after`, `counters` and the channels to the others."""
 
-    parts: list[Part]
+    shards: list[Shard]
     loop: Any
     counters: Any
     after: Callable[[float, Callable[[], None]], object]
 
     def submit(self, number: int, command: Command, done: Done) -> None:
-        """Has the part's leader carry the command out, wherever it is; `done` is called once."""
+        """Has the shard's leader carry the command out, wherever it is; `done` is called once."""
         Submission(self, number, command, done).attempt()
 
     def decide(self, number: int, command: Command, done: Done) -> bool:
         """Carries the command out if this process leads; False when it does not."""
-        part = self.parts[number]
-        if not part.leads:
+        shard = self.shards[number]
+        if not shard.leads:
             return False
-        if number == CONFIGURATION_PART:
-            self._decide_change(part, command, done)
+        if number == CONFIGURATION_SHARD:
+            self._decide_change(shard, command, done)
             return True
-        return part.propose(self.loop.now(), command, done)
+        return shard.propose(self.loop.now(), command, done)
 
-    def _decide_change(self, part: Part, command: Command, done: Done) -> None:
+    def _decide_change(self, shard: Shard, command: Command, done: Done) -> None:
         """Decides a change; one that comes again meanwhile waits, so that it is in the log once."""
-        again = part.deciding.get(command)
-        if again is not None:
-            again.append(lambda: self.decide(part.number, command, done) or done(None))
+        waiting = shard.deciding.get(command)
+        if waiting is not None:
+            waiting.append(lambda: self.decide(shard.number, command, done) or done(None))
             return
 
         def decided(result: Result | None) -> None:
-            for act in part.deciding.pop(command):
+            for act in shard.deciding.pop(command):
                 self.loop.soon(act)
             done(result)
 
-        part.deciding[command] = []
-        Decision(self, part, command, decided).begin()
+        shard.deciding[command] = []
+        Decision(self, shard, command, decided).begin()
 
     def read_configuration(self, done: Callable[[bytes | None], None]) -> None:
         """The newest configuration, confirmed by a majority."""
-        Reading(self, done).attempt()
+        ConfigurationRead(self, done).attempt()
 
     def read_here(self, done: Callable[[bytes | None], None]) -> bool:
-        """Reads if this process leads part 0; False when it does not."""
-        part = self.parts[CONFIGURATION_PART]
-        if not part.leads:
+        """Reads if this process leads shard 0; False when it does not."""
+        shard = self.shards[CONFIGURATION_SHARD]
+        if not shard.leads:
             return False
 
         def confirmed(is_confirmed: bool) -> None:
             if not is_confirmed:
                 done(None)
                 return
-            configuration = part.state.configuration
+            configuration = shard.state.configuration
             done(canonical(configuration) if configuration is not None else b"")
 
-        Confirmation(self, part, confirmed).begin()
+        Confirmation(self, shard, confirmed).begin()
         return True
 
     # Calls of other control processes.
@@ -97,50 +97,50 @@
             self.counters.add("commands.unreadable")
             decided(Result(400, int(ResultCode.CONTROL_UNREADABLE)))
             return
-        if not 0 <= argument.part < len(self.parts) or not self.decide(argument.part, command, decided):
+        if not 0 <= argument.shard < len(self.shards) or not self.decide(argument.shard, command, decided):
             decided(None)
 
     def _read(self, argument: ReadCall, respond, peer) -> None:
-        def told(body: bytes | None) -> None:
+        def answer(body: bytes | None) -> None:
             respond(ReadReply(decided=body is not None, body=body or b""))
 
-        if not self.read_here(told):
-            told(None)
+        if not self.read_here(answer):
+            answer(None)
 
 
 class Confirmation:
-    """Tells once whether this process still led the part after the call, with the state up to date."""
+    """Tells once whether this process still led the shard after the call, with the state up to date."""
 
-    def __init__(self, process: Decisions, part: Part, done: Callable[[bool], None]):
-        self.process, self.part, self.done = process, part, done
-        self.until = process.loop.now() + CALL_TIMEOUT
+    def __init__(self, process: Decisions, shard: Shard, done: Callable[[bool], None]):
+        self.process, self.shard, self.done = process, shard, done
+        self.until = process.loop.now() + CALL_TIMEOUT_NS
         self.token: ReadToken | None = None
 
     def begin(self) -> None:
-        """Asks the members; the part must be led here."""
-        self.token = self.part.replica.read_index(self.process.loop.now())
-        self.part.pump()
+        """Asks the members; the shard must be led here."""
+        self.token = self.shard.replica.read_index(self.process.loop.now())
+        self.shard.pump()
         self._look()
 
     def _look(self) -> None:
-        confirmed = self.part.replica.read_ready(self.token)
-        if confirmed and self.part.applied_index >= self.token.index:
+        confirmed = self.shard.replica.read_ready(self.token)
+        if confirmed and self.shard.applied_index >= self.token.index:
             self.done(True)
         elif confirmed is None or self.process.loop.now() >= self.until:
             self.done(False)
         else:
-            self.process.after(LOOK_AGAIN_MS, self._look)
+            self.process.after(CHECK_INTERVAL_MS, self._look)
 
 
 class Decision:
-    """A change of the configuration where its part is led.
+    """A change of the configuration where its shard is led.
 
     One that can be taken goes into the log, where its entry decides. Any other verdict is told once it holds
     on a state that is confirmed. `done(None)`: it is not known what becomes of the change."""
 
-    def __init__(self, process: Decisions, part: Part, command: Command, done: Done):
-        self.process, self.part, self.command, self.done = process, part, command, done
-        self.until = process.loop.now() + CALL_TIMEOUT
+    def __init__(self, process: Decisions, shard: Shard, command: Command, done: Done):
+        self.process, self.shard, self.command, self.done = process, shard, command, done
+        self.until = process.loop.now() + CALL_TIMEOUT_NS
         self.steps: Generator | None = None
 
     def begin(self) -> None:
@@ -149,7 +149,7 @@
 
     def _judge(self, otherwise: Callable[[Result], None]) -> None:
         """Proposes the change if it can be taken, else calls `otherwise` with the verdict."""
-        self.steps = self.part.state.judging(self.command)
+        self.steps = self.shard.state.judging(self.command)
         self._step(otherwise)
 
     def _step(self, otherwise: Callable[[Result], None]) -> None:
@@ -161,20 +161,20 @@
             self.done(None)
             raise
         else:
-            self.process.after(STEP_PAUSE_MS, lambda: self._step(otherwise))
+            self.process.after(STEP_INTERVAL_MS, lambda: self._step(otherwise))
 
     def _judged(self, otherwise: Callable[[Result], None]) -> None:
-        if not self.part.leads:
+        if not self.shard.leads:
             self.done(None)
             return
-        result, content = self.part.state.judge(self.command)
+        result, content = self.shard.state.judge(self.command)
         if content is None:
             otherwise(result)
-        elif not self.part.propose(self.process.loop.now(), self.command, self.done):
+        elif not self.shard.propose(self.process.loop.now(), self.command, self.done):
             self.done(None)
 
     def _confirm(self, _: Result) -> None:
-        Confirmation(self.process, self.part, self._confirmed).begin()
+        Confirmation(self.process, self.shard, self._confirmed).begin()
 
     def _confirmed(self, is_confirmed: bool) -> None:
         if is_confirmed:
@@ -184,14 +184,14 @@
 
     def _refuse(self, verdict: Result) -> None:
         """Tells the verdict, unless the change may build on one that came before it and is under way."""
-        if self.command.base <= self.part.state.revision or self._is_first:
+        if self.command.base <= self.shard.state.revision or self._is_first:
             self.done(verdict)
         elif self.process.loop.now() >= self.until:
             self.done(None)
         else:
-            self.process.after(LOOK_AGAIN_MS, lambda: self._judge(self._refuse))
+            self.process.after(CHECK_INTERVAL_MS, lambda: self._judge(self._refuse))
 
     @property
     def _is_first(self) -> bool:
         """Whether no change that is being decided here came before this one."""
-        return next(iter(self.part.deciding)) == self.command
+        return next(iter(self.shard.deciding)) == self.command
--- a/hopsail/controlplane/feeds.py
+++ b/hopsail/controlplane/feeds.py
@@ -21,7 +21,8 @@
 class Feeds:
     """Publishes the journal with what else a poll's reply tells, and follows the other control processes.
 
-    `alive()` gives the control processes that the membership knows; `told(changes)` takes others' news."""
+    `alive()` gives the control processes that the membership knows; `handle_changes(changes)` takes the
+    others' changes."""
 
     def __init__(
         self,
@@ -33,7 +34,7 @@
         channel: Callable[[str], Channel],
         is_fed: Callable[[], bool],
         alive: Callable[[], set[str]],
-        told: Callable[[list[Change]], None],
+        handle_changes: Callable[[list[Change]], None],
     ) -> None:
         self._loop, self._settings, self._identity = loop, settings, identity
         self._replica, self._channel, self._alive = replica, channel, alive
@@ -45,7 +46,9 @@
             loop, replica, channel, is_fed, longest_ago // 2, self.publisher.release
         )
         self.followers: dict[str, Follower] = {}
-        self._confirmed = ConfirmedFeeds(loop.now, longest_ago, longest_ago, lambda _, changes: told(changes))
+        self._confirmed = ConfirmedFeeds(
+            loop.now, longest_ago, longest_ago, lambda _, changes: handle_changes(changes)
+        )
 
     def poll(self, request: PollRequest, respond, peer) -> None:
         """A follower's call."""
--- a/hopsail/controlplane/calls.py
+++ b/hopsail/controlplane/forwarding.py
@@ -1,14 +1,14 @@
-"""Operators' calls on their way to the leader of a part, from whichever control process took them."""
+"""Operators' calls on their way to the leader of a shard, from whichever control process took them."""
 
 from ..process import MILLISECOND
 from ..rpc.channel import Channel
 from .commands import Command, decode_result
 from .messages import COMMAND, READ, CommandCall, CommandReply, ReadCall, ReadReply
-from .parts import CONFIGURATION_PART
+from .shards import CONFIGURATION_SHARD
 
-ANSWER_WITHIN = 850 * MILLISECOND  # the operator moves on after a second of silence
-AGAIN_AFTER_MS = 40  # until a command is offered again while no leader takes it
-CALL_TIMEOUT = 700 * MILLISECOND
+ANSWER_TIMEOUT_NS = 850 * MILLISECOND  # the operator moves on after a second of silence
+RETRY_INTERVAL_MS = 40  # until a command is offered again while no leader takes it
+CALL_TIMEOUT_NS = 700 * MILLISECOND
 
 
 class RetriedCall:
@@ -16,10 +16,10 @@
 
     def __init__(self, plane, done):
         self.plane, self.done = plane, done
-        self.until = plane.loop.now() + ANSWER_WITHIN
+        self.until = plane.loop.now() + ANSWER_TIMEOUT_NS
         self.timer = plane.loop.at(self.until, lambda: self.finish(None))
 
-    number = CONFIGURATION_PART
+    number = CONFIGURATION_SHARD
 
     def attempt(self) -> None:
         if self.done is None:
@@ -27,30 +27,30 @@
         if self.plane.loop.now() >= self.until:  # frozen meanwhile: whoever asked has moved on
             self.finish(None)
             return
-        if self.here():
+        if self.attempt_here():
             return
-        replica = self.plane.parts[self.number].replica
+        replica = self.plane.shards[self.number].replica
         leader = replica.leader
         if leader is None and self.plane.identity not in replica.members.all:
             leader = self.plane.any_other()  # no member hears of a leader, but others do
         if leader is None or leader == self.plane.identity:
-            self.again()
+            self.retry_later()
         else:
-            self.there(self.plane.command_channel(leader), max(1, self.until - self.plane.loop.now()))
+            self.forward(self.plane.command_channel(leader), max(1, self.until - self.plane.loop.now()))
 
-    def here(self) -> bool:
+    def attempt_here(self) -> bool:
         raise NotImplementedError
 
-    def there(self, channel: Channel, timeout: int) -> None:
+    def forward(self, channel: Channel, timeout: int) -> None:
         raise NotImplementedError
 
-    def again(self) -> None:
-        self.plane.after(AGAIN_AFTER_MS, self.attempt)
+    def retry_later(self) -> None:
+        self.plane.after(RETRY_INTERVAL_MS, self.attempt)
 
-    def told(self, answer) -> None:
+    def report(self, answer) -> None:
         """None: not known yet."""
         if answer is None:
-            self.again()
+            self.retry_later()
         else:
             self.finish(answer)
 
@@ -62,32 +62,32 @@
 
 
 class Submission(RetriedCall):
-    """A command on its way; sent again it does no harm, as each part knows what it has taken."""
+    """A command on its way; sent again it does no harm, as each shard knows what it has taken."""
 
     def __init__(self, plane, number: int, command: Command, done):
         super().__init__(plane, done)
         self.number, self.command = number, command
 
-    def here(self) -> bool:
-        return self.plane.decide(self.number, self.command, self.told)
+    def attempt_here(self) -> bool:
+        return self.plane.decide(self.number, self.command, self.report)
 
-    def there(self, channel: Channel, timeout: int) -> None:
-        call = CommandCall(part=self.number, command=self.command.encode())
-        channel.call(COMMAND, call, CommandReply, self._replied, min(timeout, CALL_TIMEOUT))
+    def forward(self, channel: Channel, timeout: int) -> None:
+        call = CommandCall(shard=self.number, command=self.command.encode())
+        channel.call(COMMAND, call, CommandReply, self._replied, min(timeout, CALL_TIMEOUT_NS))
 
     def _replied(self, reply: CommandReply | None, error) -> None:
-        self.told(decode_result(reply.result) if reply is not None and reply.decided else None)
+        self.report(decode_result(reply.result) if reply is not None and reply.decided else None)
 
 
-class Reading(RetriedCall):
+class ConfigurationRead(RetriedCall):
     """A read of the configuration on its way."""
 
-    def here(self) -> bool:
-        return self.plane.read_here(self.told)
+    def attempt_here(self) -> bool:
+        return self.plane.read_here(self.report)
 
-    def there(self, channel: Channel, timeout: int) -> None:
-        call = ReadCall(part=self.number)
-        channel.call(READ, call, ReadReply, self._replied, min(timeout, CALL_TIMEOUT))
+    def forward(self, channel: Channel, timeout: int) -> None:
+        call = ReadCall(shard=self.number)
+        channel.call(READ, call, ReadReply, self._replied, min(timeout, CALL_TIMEOUT_NS))
 
     def _replied(self, reply: ReadReply | None, error) -> None:
-        self.told(reply.body if reply is not None and reply.decided else None)
+        self.report(reply.body if reply is not None and reply.decided else None)
--- a/hopsail/controlplane/messages.py
+++ b/hopsail/controlplane/messages.py
@@ -8,22 +8,22 @@
 
 
 class ReplicaMessage(Struct):
-    """One message of a part's replicated log, one-way."""
+    """One message of a shard's replicated log, one-way."""
 
-    part: int
+    shard: int
     sender: str
     body: bytes  # `replication.messages`
 
-    thrift_spec = spec(i32(1, "part"), text(2, "sender"), binary(3, "body"))
+    thrift_spec = spec(i32(1, "shard"), text(2, "sender"), binary(3, "body"))
 
 
 class CommandCall(Struct):
-    """Asks a part's leader to carry a command out."""
+    """Asks a shard's leader to carry a command out."""
 
-    part: int
+    shard: int
     command: bytes  # `commands.Command`
 
-    thrift_spec = spec(i32(1, "part"), binary(2, "command"))
+    thrift_spec = spec(i32(1, "shard"), binary(2, "command"))
 
 
 class CommandReply(Struct):
@@ -36,11 +36,11 @@
 
 
 class ReadCall(Struct):
-    """Asks the leader of part 0 for the newest configuration."""
+    """Asks the leader of shard 0 for the newest configuration."""
 
-    part: int
+    shard: int
 
-    thrift_spec = spec(i32(1, "part"))
+    thrift_spec = spec(i32(1, "shard"))
 
 
 class ReadReply(Struct):
--- a/hopsail/controlplane/operator.py
+++ b/hopsail/controlplane/operator.py
@@ -9,18 +9,18 @@
 from ..http.message import Request, whole_number
 from ..http.server import Exchange
 from .commands import Command, CommandKind, Result
-from .parts import CONFIGURATION_PART, part_of_service
+from .shards import CONFIGURATION_SHARD, shard_of_service
 
 CONFIGURATION_PATH, VERSION_PATH = "/-/config", "/-/version-put"
 JSON_TYPE = ("content-type", "application/json")
 UNAVAILABLE_RETRY_AFTER = "0.1"  # s
-READ_HERE_BYTES = 256 << 10  # a larger body is read by the leader alone, in steps
+MAX_PARSED_HERE_BYTES = 256 << 10  # a larger body is read by the leader alone, in steps
 
 
 class Control(Protocol):
     """What carries the operator's calls out."""
 
-    def submit(self, part: int, command: Command, done: Callable[[Result | None], None]) -> None:
+    def submit(self, shard: int, command: Command, done: Callable[[Result | None], None]) -> None:
         """`done(None)` when nothing is known of it in time."""
 
     def read_configuration(self, done: Callable[[bytes | None], None]) -> None:
@@ -40,7 +40,7 @@
         call = f"{request.method} {request.path}"
         self.counters.add(f"operator.{request.method.lower()}")
         if call == f"GET {CONFIGURATION_PATH}":
-            self.control.read_configuration(lambda body: self._told(exchange, body))
+            self.control.read_configuration(lambda body: self._answer_read(exchange, body))
         elif call == f"PUT {CONFIGURATION_PATH}":
             self._change(request, exchange, CommandKind.PUT_CONFIGURATION, parse_configuration)
         elif call == f"PATCH {CONFIGURATION_PATH}":
@@ -59,13 +59,13 @@
     def _change(self, request: Request, exchange: Exchange, kind: CommandKind, parse) -> None:
         try:
             base = _base_revision(request)
-            if len(request.body) <= READ_HERE_BYTES:
+            if len(request.body) <= MAX_PARSED_HERE_BYTES:
                 parse(request.body)  # what can't be read is refused here, whoever leads
         except ConfigurationError as error:
             self._answer(exchange, Result(error.status, int(error.code), error.item))
             return
         command = Command(kind, base, "", 0, "", request.body)
-        self.control.submit(CONFIGURATION_PART, command, lambda result: self._answer(exchange, result))
+        self.control.submit(CONFIGURATION_SHARD, command, lambda result: self._answer(exchange, result))
 
     def _name_revision(self, request: Request, exchange: Exchange) -> None:
         try:
@@ -78,10 +78,10 @@
             self._answer(exchange, _failure(ResultCode.CONTROL_UNREADABLE, "Revision"))
             return
         command = Command(CommandKind.NAME_REVISION, 0, model, revision, "", b"")
-        part = part_of_service(self.control.service_of_model(model))
-        self.control.submit(part, command, lambda result: self._answer(exchange, result))
+        shard = shard_of_service(self.control.service_of_model(model))
+        self.control.submit(shard, command, lambda result: self._answer(exchange, result))
 
-    def _told(self, exchange: Exchange, body: bytes | None) -> None:
+    def _answer_read(self, exchange: Exchange, body: bytes | None) -> None:
         if body is None:
             self._answer(exchange, None)
         elif not body:
@@ -109,7 +109,11 @@
 
 def _is_name(value: object) -> bool:
     """Whether it is text that the feed can carry: no half of a surrogate pair."""
-    return type(value) is str and value != "" and not any("\ud800" <= letter <= "\udfff" for letter in value)
+    return (
+        type(value) is str
+        and value != ""
+        and not any("\ud800" <= character <= "\udfff" for character in value)
+    )
 
 
 def _failure(code: ResultCode, item: str) -> Result:
--- a/hopsail/controlplane/plane.py
+++ b/hopsail/controlplane/plane.py
@@ -1,4 +1,4 @@
-"""The control plane's process: parts of the control state, the operator's calls, the feed."""
+"""The control plane's process: shards of the control state, the operator's calls, the feed."""
 
 from random import Random
 
@@ -19,7 +19,7 @@
 from .contact import CONFIRM, ConfirmCall
 from .decisions import Decisions
 from .feeds import ROLE, Feeds
-from .kept_reader import KeptReader
+from .prefix_cache_reader import PrefixCacheReader
 from .messages import (
     COMMAND,
     READ as READ_CALL,
@@ -29,8 +29,8 @@
     ReplicaMessage,
 )
 from .operator import OperatorCalls
-from .part import Part
-from .parts import CONFIGURATION_PART
+from .shard import Shard
+from .shards import CONFIGURATION_SHARD
 from .platform_list import PlatformList
 from .replicas import Replicas
 from .rollouts import Rollouts
@@ -41,8 +41,8 @@
 configuration_log = get_logger("configuration")
 
 DATA_PLANE_ROLE = "dataplane"
-BODY_BYTES = 6 << 20  # of an operator's call
-MOST_ENTRIES = 2_000_000  # of the feed
+MAX_BODY_BYTES = 6 << 20  # of an operator's call
+MAX_FEED_ENTRIES = 2_000_000  # of the feed
 TICK_MS = 20
 SLOW_TICK_MS = 500
 VOTERS_TICK_MS = 100
@@ -57,7 +57,7 @@
         super().__init__(settings)
         self.identity = f"{settings.ip}:{settings.port_first}"
         self.random = Random(f"{settings.node_name}/{self.loop.now()}")
-        self.journal = Journal(self.random.getrandbits(62) + 1, MOST_ENTRIES)
+        self.journal = Journal(self.random.getrandbits(62) + 1, MAX_FEED_ENTRIES)
         self.channels: dict[str, Channel] = {}
         self.command_channels: dict[str, Channel] = {}
         self.http = HttpClient(self.loop)
@@ -65,7 +65,7 @@
         self.configuration_feed = ConfigurationFeed(
             self.journal,
             self.after,
-            lambda: self.parts[CONFIGURATION_PART].state,
+            lambda: self.shards[CONFIGURATION_SHARD].state,
             self._configuration_fed,
         )
         self.ending: Ending | None = None
@@ -75,7 +75,7 @@
     def start(self) -> None:
         settings = self.settings
         self.replicas = Replicas(self, self._applied)
-        self.parts, self.storage, self.disk = self.replicas.parts, self.replicas.storage, self.replicas.disk
+        self.shards, self.storage, self.disk = self.replicas.shards, self.replicas.storage, self.replicas.disk
         self.feeds = self._feeds()
         self.rpc = RpcServer(self.loop, (settings.ip, settings.port_first), FLEET)
         self.rpc.register(REPLICATE, ReplicaMessage, self.replicas.receive)
@@ -84,16 +84,16 @@
         self.rpc.register(POLL, PollRequest, self.feeds.poll)
         self.rpc.register(CONFIRM, ConfirmCall, self.feeds.contact.answer)
         self.operator = OperatorCalls(self, self.counters)
-        self.door = HttpServer(
-            self.loop, settings.control_plane, self._operator_call, ServerLimits(body_bytes=BODY_BYTES)
+        self.listener = HttpServer(
+            self.loop, settings.control_plane, self._operator_call, ServerLimits(body_bytes=MAX_BODY_BYTES)
         )
         self.join(ROLE)
         self.platform = PlatformList(
-            self.loop, settings, self.journal, self.http, lambda: self.parts[0].leads, self.counters
+            self.loop, settings, self.journal, self.http, lambda: self.shards[0].leads, self.counters
         )
         self.rollouts = Rollouts(self)
         self.voters = Voters(self)
-        self.kept = KeptReader(self)
+        self.prefix_cache_reader = PrefixCacheReader(self)
         self._tick()
         self._slow_tick()
         self._voters_tick()
@@ -105,8 +105,8 @@
         self.ending = Ending(
             self.loop,
             self.identity,
-            self.parts,
-            self.door,
+            self.shards,
+            self.listener,
             self.rpc,
             self.feeds.publisher,
             self.settings.bounds.grace_s * 1000,
@@ -181,13 +181,13 @@
 
     # The feed.
 
-    def _applied(self, part: Part) -> None:
-        """The part's state has changed."""
-        if part.number == CONFIGURATION_PART:
+    def _applied(self, shard: Shard) -> None:
+        """The shard's state has changed."""
+        if shard.number == CONFIGURATION_SHARD:
             self.configuration_feed.publish()
             return
         with self.journal.batch():
-            for model, revision in part.state.revisions.items():
+            for model, revision in shard.state.revisions.items():
                 known = self.journal.get(Topic.TARGET, model)
                 if known is None or int(known) < revision:
                     self.journal.set(Topic.TARGET, model, str(revision).encode())
@@ -199,26 +199,26 @@
         configuration_log.info("revision %s taken", table.revision)
 
     def _feeds(self) -> Feeds:
-        part = self.parts[CONFIGURATION_PART]
+        shard = self.shards[CONFIGURATION_SHARD]
         return Feeds(
             self.loop,
             self.settings,
             self.identity,
             self.journal,
-            part.replica,
+            shard.replica,
             self.channel,
-            lambda: part.has_applied_all and self.configuration_feed.is_current,
+            lambda: shard.has_applied_all and self.configuration_feed.is_current,
             lambda: set(self._alive_controls()),
-            self._told,
+            self._handle_changes,
         )
 
-    def _told(self, changes: list[Change]) -> None:
-        """News from another control process."""
+    def _handle_changes(self, changes: list[Change]) -> None:
+        """Changes from another control process."""
         with self.journal.batch():
             for change in changes:
                 if change.value is None:
                     continue
                 if change.topic == Topic.LOAD:
-                    self.rollouts.told(change)
+                    self.rollouts.handle_change(change)
                 else:
-                    self.platform.told(change)
+                    self.platform.handle_change(change)
--- a/hopsail/controlplane/platform_list.py
+++ b/hopsail/controlplane/platform_list.py
@@ -12,9 +12,9 @@
 from ..http.client import HttpClient
 
 MILLISECOND = 1_000_000
-CALL_TIMEOUT = 600 * MILLISECOND
-LOOK_EVERY_MS = 50
-FORGET_EVERY = 10_000 * MILLISECOND  # also while others read the list
+CALL_TIMEOUT_NS = 600 * MILLISECOND
+CHECK_INTERVAL_MS = 50
+FORGET_INTERVAL_NS = 10_000 * MILLISECOND  # also while others read the list
 
 
 class PlatformList:
@@ -27,53 +27,52 @@
         self.address, self.node = settings.platform, settings.node_name
         self.is_reader = is_reader
         self.view = HostView()
-        self.reader = ListingReader()
+        self.listing_reader = ListingReader()
         rules = ListingRules(rate_per_s=settings.platform_rate)
         self.schedule = ListingSchedule(max(3, len(settings.seeds)), Random(settings.node_name), rules)
         self.freshest: int | None = None
-        self.readings = 0
+        self.complete_listings = 0
         self.published: dict[str, None] = {}
         self.forgotten_at = loop.now()
-        self._look()
+        self._check()
 
-    def _look(self) -> None:
+    def _check(self) -> None:
         now = self.loop.now()
-        self.loop.at(now + LOOK_EVERY_MS * MILLISECOND, self._look)
-        if now - self.forgotten_at >= FORGET_EVERY:
+        self.loop.at(now + CHECK_INTERVAL_MS * MILLISECOND, self._check)
+        if now - self.forgotten_at >= FORGET_INTERVAL_NS:
             self.forgotten_at = now
             with self.journal.batch():
                 self._forget()
-        if self.address is None or self.reader.in_progress:
+        if self.address is None or self.listing_reader.in_progress:
             return
         if self.schedule.next_due(now, self.is_reader(), self.freshest) <= now:
             self.schedule.record_start(now)
-            self._ask(self.reader.start())
+            self._ask(self.listing_reader.start())
 
     def _ask(self, path: str) -> None:
         self.counters.add("platform.calls")
-        self.http.call(tuple(self.address), "GET", path, timeout=CALL_TIMEOUT, done=self._answered)
+        self.http.call(tuple(self.address), "GET", path, timeout=CALL_TIMEOUT_NS, done=self._answered)
 
     def _answered(self, response) -> None:
         now = self.loop.now()
-        step = self.reader.receive_page(
-            response.status if response else 0, response.body if response else b""
-        )
+        status, body = (response.status, response.body) if response else (0, b"")
+        step = self.listing_reader.receive_page(status, body)
         if isinstance(step, NextPage):
             self._ask(step.path)
         elif isinstance(step, Complete):
             self.schedule.record_success(now, step.pages)
             self.freshest = now
-            self.readings += 1
+            self.complete_listings += 1
             with self.journal.batch():
                 self._publish(self.view.apply_listing(now, step.instances, step.pages))
                 self._forget()
-                self.journal.set(Topic.LISTING, self.node, str(self.readings).encode())
+                self.journal.set(Topic.LISTING, self.node, str(self.complete_listings).encode())
         else:
             self.counters.add("platform.failures")
             self.schedule.record_failure(now)
 
-    def told(self, change) -> None:
-        """News from another control process."""
+    def handle_change(self, change) -> None:
+        """A change from another control process."""
         now = self.loop.now()
         if change.topic == Topic.LISTING:
             if change.value is not None and change.key != self.node:
--- a/hopsail/controlplane/replicas.py
+++ b/hopsail/controlplane/replicas.py
@@ -12,26 +12,26 @@
 from ..replication.storage import PartWrite, Storage, StorageError
 from .commands import Command, Result
 from .configuration_state import ConfigurationState
-from .decisions import STEP_PAUSE_MS
+from .decisions import STEP_INTERVAL_MS
 from .feeds import ROLE
 from .messages import REPLICATE, ReplicaMessage
-from .part import Part
-from .parts import CONFIGURATION_PART, PART_NAMES
+from .shard import Shard
+from .shards import CONFIGURATION_SHARD, SHARD_NAMES
 from .service_state import ServiceState
 
-STALL_TIME = 400 * MILLISECOND  # a write that takes longer costs the leadership
+MAX_SYNC_AGE_NS = 400 * MILLISECOND  # a write that takes longer costs the leadership
 
 
 class Replicas:
-    """All parts, each with its replica; `applied(part)` tells that a part's state has changed.
+    """All shards, each with its replica; `applied(shard)` tells that a shard's state has changed.
 
     Raises StartError when the disk cannot be read."""
 
-    def __init__(self, plane, applied: Callable[[Part], None]):
+    def __init__(self, plane, applied: Callable[[Shard], None]):
         self.plane, self.loop, self._applied = plane, plane.loop, applied
         self.storage = self._opened(plane.settings.data_path)
         bootstrapping = plane.settings.bootstrap and self.storage.empty
-        self.parts = [self._part(number, bootstrapping) for number in range(len(PART_NAMES))]
+        self.shards = [self._open_shard(number, bootstrapping) for number in range(len(SHARD_NAMES))]
         self.disk = DiskThread(self.storage, self.loop.now)
         self.loop.watch(self.disk.descriptor, READ, self._written)
 
@@ -39,12 +39,12 @@
     def _opened(folder: str) -> Storage:
         os.makedirs(folder, exist_ok=True)
         try:
-            return Storage.open(folder, PART_NAMES)
+            return Storage.open(folder, SHARD_NAMES)
         except StorageError as error:
             raise StartError(f"{folder}: {error}") from error
 
-    def _part(self, number: int, bootstrapping: bool) -> Part:
-        durable = self.storage.load(PART_NAMES[number])
+    def _open_shard(self, number: int, bootstrapping: bool) -> Shard:
+        durable = self.storage.load(SHARD_NAMES[number])
         recovering = durable is None and not bootstrapping
         if durable is None:
             members = Members(tuple(sorted(f"{host}:{port}" for host, port in self.plane.seeds)))
@@ -52,13 +52,13 @@
         rules = ReplicaRules(self.plane.identity)
         now, started_at = self.loop.now(), self.plane.started_at
         replica = Replica(rules, self.plane.random, now, durable, recovering, started_at)
-        if number == CONFIGURATION_PART:
+        if number == CONFIGURATION_SHARD:
             state, decoding = ConfigurationState(), ConfigurationState.decoding
             apply = _apply_configuration
         else:
             state, decoding = ServiceState(), ServiceState.decoding
             apply = _apply_service
-        return Part(
+        return Shard(
             number,
             replica,
             state,
@@ -67,75 +67,75 @@
             self._store,
             self._send,
             self._applied,
-            ConfigurationState.judging if number == CONFIGURATION_PART else None,
-            lambda act: self.plane.after(STEP_PAUSE_MS, act),
+            ConfigurationState.judging if number == CONFIGURATION_SHARD else None,
+            lambda act: self.plane.after(STEP_INTERVAL_MS, act),
         )
 
     # Time.
 
     def tick(self, now: int) -> None:
         """What is due; a disk that stalls costs the leadership."""
-        for part in self.parts:
-            if part.replica.due <= now:
-                part.replica.tick(now)
-            part.pump()
-        if self.disk.oldest_age(now) > STALL_TIME:
-            for part in self.parts:
-                if part.leads:
-                    part.replica.storage_stalled(now)
-                    part.pump()
+        for shard in self.shards:
+            if shard.replica.due <= now:
+                shard.replica.tick(now)
+            shard.pump()
+        if self.disk.oldest_age(now) > MAX_SYNC_AGE_NS:
+            for shard in self.shards:
+                if shard.leads:
+                    shard.replica.storage_stalled(now)
+                    shard.pump()
 
     def compact(self) -> None:
         """Snapshots where they are due."""
-        for part in self.parts:
-            part.compact()
+        for shard in self.shards:
+            shard.compact()
 
     def ask_to_join(self, now: int) -> None:
-        """Ask the control processes that are known for the log of each part that isn't received."""
+        """Ask the control processes that are known for the log of each shard that isn't received."""
         others = {f"{m.address[0]}:{m.address[1]}" for m in self.plane.membership.alive(ROLE)}
         others |= {f"{host}:{port}" for host, port in self.plane.seeds}
-        for part in self.parts:
-            part.replica.ask_to_join(now, others - {self.plane.identity})
-            part.pump()
+        for shard in self.shards:
+            shard.replica.ask_to_join(now, others - {self.plane.identity})
+            shard.pump()
 
     # The disk.
 
-    def _store(self, part: Part, ready: Ready) -> None:
-        self.disk.submit([PartWrite(PART_NAMES[part.number], ready)], (part, ready.serial))
+    def _store(self, shard: Shard, ready: Ready) -> None:
+        self.disk.submit([PartWrite(SHARD_NAMES[shard.number], ready)], (shard, ready.serial))
 
     def _written(self, _mask) -> None:
         now = self.loop.now()
-        for (part, serial), error in self.disk.collect():
+        for (shard, serial), error in self.disk.collect():
             if error is None:
-                part.replica.persisted(now, serial)
+                shard.replica.persisted(now, serial)
             else:
                 self.plane.counters.add("disk.failures")
-                part.replica.storage_failed(now)
-            part.pump()
+                shard.replica.storage_failed(now)
+            shard.pump()
 
     # Messages.
 
-    def _send(self, part: Part, peer: str, message) -> None:
-        body = ReplicaMessage(part=part.number, sender=self.plane.identity, body=encode(message))
+    def _send(self, shard: Shard, peer: str, message) -> None:
+        body = ReplicaMessage(shard=shard.number, sender=self.plane.identity, body=encode(message))
         self.plane.channel(peer).send(REPLICATE, body)
 
     def receive(self, argument: ReplicaMessage, respond, peer) -> None:
         """Take a message of another process's replica."""
-        if not 0 <= argument.part < len(self.parts):
+        if not 0 <= argument.shard < len(self.shards):
             return
         try:
             message = decode(argument.body)
         except MessageError:
             self.plane.counters.add("replication.unreadable")
             return
-        part = self.parts[argument.part]
-        part.replica.receive(self.loop.now(), argument.sender, message)
-        part.pump()
+        shard = self.shards[argument.shard]
+        shard.replica.receive(self.loop.now(), argument.sender, message)
+        shard.pump()
 
     def figures(self) -> dict[str, int]:
         """Names and numbers for staff."""
-        figures = {f"part.{part.number}.index": part.replica.commit_index for part in self.parts}
-        figures["log.unreadable"] = sum(part.dropped_entries for part in self.parts)
+        figures = {f"part.{shard.number}.index": shard.replica.commit_index for shard in self.shards}
+        figures["log.unreadable"] = sum(shard.dropped_entries for shard in self.shards)
         figures["disk.torn"] = self.storage.torn_records
         figures["disk.damaged"] = self.storage.damaged_records
         figures["disk.compaction_failures"] = self.disk.compaction_errors
--- a/hopsail/controlplane/service_state.py
+++ b/hopsail/controlplane/service_state.py
@@ -1,4 +1,4 @@
-"""The state of a part that holds services: named weights and the duty of rolling them out. No I/O."""
+"""The state of a shard that holds services: named weights and the duty of rolling them out. No I/O."""
 
 import json
 from collections.abc import Generator, Iterator
@@ -9,23 +9,23 @@
 OK = 200
 
 
-class Duty(NamedTuple):
+class SingletonRole(NamedTuple):
     """Who may send orders to the hosts of a service; the fence rises with each holder."""
 
-    fence: int
+    fencing_token: int
     owner: str
     released: bool
-    previous_fence: int  # of the last holder that was another one, 0 without one
+    previous_fencing_token: int  # of the last holder that was another one, 0 without one
     previous_owner: str
 
 
-def _previous(known: Duty | None, owner: str) -> tuple[int, str]:
+def _previous(known: SingletonRole | None, owner: str) -> tuple[int, str]:
     """Fence and owner of the last holder that is not `owner`."""
     if known is None:
         return 0, ""
     if known.owner == owner:
-        return known.previous_fence, known.previous_owner
-    return known.fence, known.owner
+        return known.previous_fencing_token, known.previous_owner
+    return known.fencing_token, known.owner
 
 
 class ServiceState:
@@ -33,7 +33,7 @@
 
     def __init__(self):
         self.revisions: dict[str, int] = {}  # model -> the newest named
-        self.duties: dict[str, Duty] = {}  # service -> its roll-out's holder
+        self.roles: dict[str, SingletonRole] = {}  # service -> its roll-out's holder
 
     def apply(self, index: int, command: Command) -> Result:
         """Carries the command of the log's entry `index` out."""
@@ -41,17 +41,19 @@
             newest = max(command.number, self.revisions.get(command.subject, 0))
             self.revisions[command.subject] = newest
             return Result(OK, value=newest)
-        known = self.duties.get(command.subject)
-        if command.kind is CommandKind.ACQUIRE_DUTY:
-            self.duties[command.subject] = Duty(index, command.owner, False, *_previous(known, command.owner))
+        known = self.roles.get(command.subject)
+        if command.kind is CommandKind.ACQUIRE_ROLE:
+            self.roles[command.subject] = SingletonRole(
+                index, command.owner, False, *_previous(known, command.owner)
+            )
             return Result(OK, value=index)
-        if known is not None and known.fence == command.number:
-            self.duties[command.subject] = known._replace(released=True)
+        if known is not None and known.fencing_token == command.number:
+            self.roles[command.subject] = known._replace(released=True)
         return Result(OK)
 
     def encode(self) -> bytes:
         """The whole state, for a snapshot."""
-        return json.dumps({"revisions": self.revisions, "duties": self.duties}).encode()
+        return json.dumps({"revisions": self.revisions, "duties": self.roles}).encode()
 
     def encode_steps(self) -> Iterator[bytes]:
         """The same, in one step: it is small."""
@@ -61,7 +63,7 @@
     def decode(cls, data: bytes) -> "ServiceState":
         state, tree = cls(), json.loads(data)
         state.revisions = tree["revisions"]
-        state.duties = {service: Duty(*duty) for service, duty in tree["duties"].items()}
+        state.roles = {service: SingletonRole(*duty) for service, duty in tree["duties"].items()}
         return state
 
     @classmethod
--- a/hopsail/controlplane/part.py
+++ b/hopsail/controlplane/shard.py
@@ -1,4 +1,4 @@
-"""One part of the control state in this process: its replica, what it must store, and the state it builds."""
+"""One shard of the control state in this process: its replica, its storage and the state it builds."""
 
 from collections import deque
 from collections.abc import Callable, Generator, Iterator
@@ -14,22 +14,23 @@
 
 log = get_logger("part")
 
-MOST_PENDING = 1024  # proposals that wait for their entry to be applied
-FAULTY = Result(400, int(ResultCode.CONTROL_UNREADABLE))  # of a command that no replica can carry out
+MAX_PENDING_PROPOSALS = 1024  # proposals that wait for their entry to be applied
+# The result of a command that no replica can carry out.
+UNREADABLE_COMMAND = Result(400, int(ResultCode.CONTROL_UNREADABLE))
 
 Done = Callable[[Result | None], None]
 
 
-class PartState(Protocol):
-    """The state machine of a part."""
+class ShardState(Protocol):
+    """The state machine of a shard."""
 
     def encode_steps(self) -> Iterator[bytes]: ...
 
 
-class Part:
+class Shard:
     """Drives a replica: `pump` does all that it asks for.
 
-    `store(part, ready)` begins a write, `send(part, peer, message)` sends, `applied(part)` tells that the
+    `store(shard, ready)` begins a write, `send(shard, peer, message)` sends, `applied(shard)` tells that the
     state has changed. `prepare(state, command)`, if there is one, does in steps what would make `apply` long,
     `decoding(data)` makes the state of a snapshot in steps, and `later(act)` has the next step done soon:
     meanwhile entries wait, and all else goes on. Until a snapshot is decoded `state` is the one before it."""
@@ -38,13 +39,13 @@
         self,
         number: int,
         replica: Replica,
-        state: PartState,
-        decoding: Callable[[bytes], Generator[None, None, PartState]],
-        apply: Callable[[PartState, int, Command], Result],
-        store: Callable[["Part", Ready], None],
-        send: Callable[["Part", str, object], None],
-        applied: Callable[["Part"], None],
-        prepare: Callable[[PartState, Command], Iterator[None]] | None = None,
+        state: ShardState,
+        decoding: Callable[[bytes], Generator[None, None, ShardState]],
+        apply: Callable[[ShardState, int, Command], Result],
+        store: Callable[["Shard", Ready], None],
+        send: Callable[["Shard", str, object], None],
+        applied: Callable[["Shard"], None],
+        prepare: Callable[[ShardState, Command], Iterator[None]] | None = None,
         later: Callable[[Callable[[], None]], object] | None = None,
     ):
         self.number, self.replica, self.state = number, replica, state
@@ -81,7 +82,7 @@
         """Puts the command into the log; `done(None)` when it is not known what becomes of it.
 
         False when this process does not lead, or has too many under way."""
-        if len(self._pending) >= MOST_PENDING:
+        if len(self._pending) >= MAX_PENDING_PROPOSALS:
             return False
         try:
             index = self.replica.propose(now, command.encode())
@@ -94,7 +95,7 @@
     def pump(self) -> None:
         """Sends, stores and applies what is ready."""
         changed = False
-        self._go_on_compacting()
+        self._advance_compaction()
         while (ready := self.replica.take_ready()) is not None:
             for peer, message in ready.messages:
                 self._send(self, peer, message)
@@ -123,11 +124,11 @@
             self._compaction = Compaction(self.applied_index, self.state.encode_steps())
         self.pump()
 
-    def _go_on_compacting(self) -> None:
+    def _advance_compaction(self) -> None:
         if self._compaction is None:
             return
         try:
-            data = self._compaction.go_on()
+            data = self._compaction.advance()
             if data is None:
                 return
             self.replica.compact(self._compaction.index, data)
@@ -158,7 +159,7 @@
         """Applies entries in their order, as far as none has to be prepared."""
         changed = False
         while self._unapplied and self._steps is None and not self._is_installing:
-            command = self._command_of(self._unapplied[0])
+            command = self._decode_entry(self._unapplied[0])
             if command is not None and self._must_prepare(command):
                 break
             changed |= self._apply_first(command)
@@ -176,17 +177,17 @@
 
     def _begin(self, steps: Iterator[None], end: Callable[[], bool]) -> bool:
         """Takes the first step; False when that was all, else `end` is called after the last one."""
-        if not self._takes_step(steps):
+        if not self._take_step(steps):
             return False
         self._steps = steps
-        self._later(lambda: self._go_on(steps, end))
+        self._later(lambda: self._continue(steps, end))
         return True
 
-    def _go_on(self, steps: Iterator[None], end: Callable[[], bool]) -> None:
+    def _continue(self, steps: Iterator[None], end: Callable[[], bool]) -> None:
         if steps is not self._steps:
             return  # a snapshot has taken the place of the entry, or of an older one
-        if self._takes_step(steps):
-            self._later(lambda: self._go_on(steps, end))
+        if self._take_step(steps):
+            self._later(lambda: self._continue(steps, end))
             return
         self._steps = None
         changed = end()
@@ -195,7 +196,7 @@
             self._notify(self._applied, self)
         self.pump()
 
-    def _takes_step(self, steps: Iterator[None]) -> bool:
+    def _take_step(self, steps: Iterator[None]) -> bool:
         """Whether there was one more step. A fault ends them: `apply` meets it again, as on every replica."""
         try:
             next(steps)
@@ -206,7 +207,7 @@
             return False
         return True
 
-    def _command_of(self, entry: Entry) -> Command | None:
+    def _decode_entry(self, entry: Entry) -> Command | None:
         if entry.kind != EntryKind.DATA:
             return None
         try:
@@ -216,20 +217,20 @@
             return None
 
     def _commit(self, entry: Entry, command: Command) -> bool:
-        result = self._carried_out(entry.index, command)
+        result = self._execute(entry.index, command)
         term, done = self._pending.pop(entry.index, (0, None))
         if done is not None:
             self._notify(done, result if term == entry.term else None)
         return True
 
-    def _carried_out(self, index: int, command: Command) -> Result:
+    def _execute(self, index: int, command: Command) -> Result:
         """Carries a command out. One that fails does so on every replica, and those after it go on."""
         try:
             return self._apply(self.state, index, command)
         except Exception:
             log_exception()
             self.dropped_entries += 1
-            return FAULTY
+            return UNREADABLE_COMMAND
 
     def _notify(self, callback: Callable, argument: object) -> None:
         """Calls back; a fault there must not keep the entries after this one from being applied."""
--- a/hopsail/controlplane/stopping.py
+++ b/hopsail/controlplane/stopping.py
@@ -1,7 +1,7 @@
 """The end of a control process: it ends when the others can go on without it, or when the grace is over.
 
 From SIGTERM to SIGKILL there is a stated time, the grace. Within it the process hands over what it leads,
-waits until it has heard of a leader of each part and what it holds is on a majority without it, and answers
+waits until it has heard of a leader of each shard and what it holds is on a majority without it, and answers
 the calls that it has taken. Only what cannot be had in that time, such as a successor while a majority is
 down, is left when it ends."""
 
@@ -11,13 +11,13 @@
 from ..feed.publisher import Publisher
 from ..http.server import HttpServer
 from ..rpc.server import RpcServer
-from .part import Part
+from .shard import Shard
 
 MILLISECOND = 1_000_000
-STEP_MS = 20
-LEAST_MS = 300  # meanwhile others hear that this process leaves
+STEP_INTERVAL_MS = 20
+MIN_DURATION_MS = 300  # meanwhile others hear that this process leaves
 LAST_CALLS_MARGIN_MS = 1500  # before the platform kills: a call that is taken now is answered in time
-HELD_MARGIN_MS = 2000  # before the platform kills: what only this process holds is waited for no longer
+REPLICATION_MARGIN_MS = 2000  # before the platform kills: entries without a majority are given up
 ANSWERS_MARGIN_MS = 600  # before the platform kills: the operator's connections end
 CLOSE_MARGIN_MS = 250  # before the platform kills: the process ends, whatever is left
 
@@ -29,25 +29,25 @@
         self,
         loop,
         identity: str,
-        parts: Sequence[Part],
-        door: HttpServer,
+        shards: Sequence[Shard],
+        listener: HttpServer,
         rpc: RpcServer,
         publisher: Publisher,
         grace_ms: float,
         finish: Callable[[], None],
     ):
-        self.loop, self.identity, self.parts = loop, identity, parts
-        self.door, self.rpc, self.publisher, self.finish = door, rpc, publisher, finish
-        self.told_at = loop.now()
-        killed_at = self.told_at + int(grace_ms * MILLISECOND)
+        self.loop, self.identity, self.shards = loop, identity, shards
+        self.listener, self.rpc, self.publisher, self.finish = listener, rpc, publisher, finish
+        self.stopping_since = loop.now()
+        killed_at = self.stopping_since + int(grace_ms * MILLISECOND)
         self.calls_until = killed_at - LAST_CALLS_MARGIN_MS * MILLISECOND
-        self.held_until = killed_at - HELD_MARGIN_MS * MILLISECOND
+        self.replication_until = killed_at - REPLICATION_MARGIN_MS * MILLISECOND
         self.answers_until = killed_at - ANSWERS_MARGIN_MS * MILLISECOND
         self.closed_by = killed_at - CLOSE_MARGIN_MS * MILLISECOND
-        self.shut = self.released = False
-        for part in parts:
-            part.replica.leave(self.told_at)
-        door.drain()
+        self.connections_shut = self.released = False
+        for shard in shards:
+            shard.replica.leave(self.stopping_since)
+        listener.drain()
 
     @property
     def takes_calls(self) -> bool:
@@ -57,45 +57,45 @@
     def may_end(self) -> bool:
         """Whether the others can go on without this process, as far as it can tell."""
         now = self.loop.now()
-        if now < self.held_until and not all(part.replica.may_leave(now) for part in self.parts):
+        if now < self.replication_until and not all(shard.replica.may_leave(now) for shard in self.shards):
             return False
-        return all(self._is_handed_over(part) for part in self.parts)
+        return all(self._is_handed_over(shard) for shard in self.shards)
 
     def step(self) -> None:
         """Does what is due, now and from time to time until the end."""
         now = self.loop.now()
         self._hand_over(now)
-        if not self.shut and (now >= self.answers_until or self._is_settled(now)):
-            self.shut = True
-            self.door.shut()
-        if now >= self.closed_by or (self.shut and self.may_end() and self._has_answered()):
+        if not self.connections_shut and (now >= self.answers_until or self._may_close(now)):
+            self.connections_shut = True
+            self.listener.shut()
+        if now >= self.closed_by or (self.connections_shut and self.may_end() and self._has_answered()):
             self._end(now)
         else:
             self._step_again(now)
 
     def _step_again(self, now: int) -> None:
-        self.loop.at(now + STEP_MS * MILLISECOND, self.step)
+        self.loop.at(now + STEP_INTERVAL_MS * MILLISECOND, self.step)
 
     def _hand_over(self, now: int) -> None:
-        """Names a successor for each part that is led here, again if it was not possible before."""
-        for part in self.parts:
-            if part.leads:
-                part.replica.transfer(now, None)
-                part.pump()
-
-    def _is_handed_over(self, part: Part) -> bool:
-        """Whether another process leads the part, as far as is known here."""
-        replica = part.replica
+        """Names a successor for each shard that is led here, again if it was not possible before."""
+        for shard in self.shards:
+            if shard.leads:
+                shard.replica.transfer(now, None)
+                shard.pump()
+
+    def _is_handed_over(self, shard: Shard) -> bool:
+        """Whether another process leads the shard, as far as is known here."""
+        replica = shard.replica
         if not replica.is_voter or replica.members.voters == (self.identity,):
             return True  # nobody waits for it, or there is nobody else
-        return not part.leads and replica.leader not in (None, self.identity)
+        return not shard.leads and replica.leader not in (None, self.identity)
 
-    def _is_settled(self, now: int) -> bool:
-        waited = now - self.told_at >= LEAST_MS * MILLISECOND
-        return waited and self.may_end() and not self.door.busy
+    def _may_close(self, now: int) -> bool:
+        waited = now - self.stopping_since >= MIN_DURATION_MS * MILLISECOND
+        return waited and self.may_end() and not self.listener.busy
 
     def _has_answered(self) -> bool:
-        return not self.door.connections and not self.rpc.calls_in_flight(besides=POLL)
+        return not self.listener.connections and not self.rpc.calls_in_flight(besides=POLL)
 
     def _end(self, now: int) -> None:
         """Lets those go that wait for changes, and ends when that is out."""
@@ -104,6 +104,6 @@
             self.publisher.stop_parking()
             self._step_again(now)
             return
-        self.door.close()
+        self.listener.close()
         self.rpc.close()
         self.finish()
--- a/hopsail/controlplane/voters.py
+++ b/hopsail/controlplane/voters.py
@@ -1,4 +1,4 @@
-"""Keeps the voters of the parts led here up with the control processes that live.
+"""Keeps the voters of the shards led here up with the control processes that live.
 
 There are never more voters than wanted: a new process receives the log as a learner, and votes when a voter
 has gone or is about to. Both happen in one agreed change, so that no loss in between counts against one voter
@@ -14,13 +14,13 @@
 
 MILLISECOND = 1_000_000
 SECOND = 1000 * MILLISECOND
-DEAD_SHARE = 3  # of the time until the next loss may come, one in so many passes until a silent voter is dead
-DEAD_TIME_LEAST = 1 * SECOND  # longer than an election, and than freezes and stalls usually last
-MOST_MEMBERS = 9
+DEAD_TIME_DIVISOR = 3  # a voter is dead after this part of the time until the next loss may come
+MIN_DEAD_TIME_NS = 1 * SECOND  # longer than an election, and than freezes and stalls usually last
+MAX_MEMBERS = 9
 
 
 class Watch(NamedTuple):
-    """Since when each member of a part is one while this process leads it, in one term."""
+    """Since when each member of a shard is one while this process leads it, in one term."""
 
     term: int
     since: dict[str, int]
@@ -39,19 +39,19 @@
     def __init__(self, plane):
         self.plane = plane
         self.target = 2 * max(1, plane.settings.machine_losses) + 1
-        self._watches: dict[int, Watch] = {}  # of the parts led here
+        self._watches: dict[int, Watch] = {}  # of the shards led here
 
     @property
     def dead_time(self) -> int:
         """ns of silence in the log after which a voter is dead: well inside the time between two losses."""
-        return max(DEAD_TIME_LEAST, int(self.plane.settings.bounds.sync_s * SECOND) // DEAD_SHARE)
+        return max(MIN_DEAD_TIME_NS, int(self.plane.settings.bounds.sync_s * SECOND) // DEAD_TIME_DIVISOR)
 
     def check(self, now: int) -> None:
-        """At most one change for each part led here."""
+        """At most one change for each shard led here."""
         alive = self._alive()
-        for number, part in enumerate(self.plane.parts):
-            if part.leads and not self.plane.stopping:
-                self._check_part(now, number, part, alive)
+        for number, shard in enumerate(self.plane.shards):
+            if shard.leads and not self.plane.stopping:
+                self._check_shard(now, number, shard, alive)
             else:
                 self._watches.pop(number, None)
 
@@ -59,57 +59,57 @@
         members = self.plane.membership.alive("controlplane")
         return {f"{m.address[0]}:{m.address[1]}" for m in members} | {self.plane.identity}
 
-    def _check_part(self, now: int, number: int, part, alive: set[str]) -> None:
-        replica = part.replica
+    def _check_shard(self, now: int, number: int, shard, alive: set[str]) -> None:
+        replica = shard.replica
         replica.tick(now)  # after a freeze of this process the silence of the others says nothing
-        if not part.leads:
+        if not shard.leads:
             return
         members = replica.members
         watch = self._watches.get(number)
         if watch is None or watch.term != replica.term:
             watch = self._watches[number] = Watch(replica.term, {})
         watch.look(now, members.all)
-        wanted = self._wanted(now, watch, replica, alive)
-        if members.is_joint or wanted == members:
+        desired = self._desired_members(now, watch, replica, alive)
+        if members.is_joint or desired == members:
             return
         try:
-            replica.propose_members(now, wanted.voters, wanted.learners)
+            replica.propose_members(now, desired.voters, desired.learners)
         except (Busy, NotLeader):
             return
         self.plane.counters.add("members.changed")
-        voters, learners = _named(wanted.voters), _named(wanted.learners)
+        voters, learners = _named(desired.voters), _named(desired.learners)
         log.info("part %s: voters %s, learners %s", number, voters, learners)
-        part.pump()
+        shard.pump()
 
-    def _is_silent(self, now: int, watch: Watch, replica, identity: str) -> bool:
-        """Whether this leader has not heard of a member for long, since it leads and the other is one."""
+    def _is_timed_out(self, now: int, watch: Watch, replica, identity: str) -> bool:
+        """Whether this leader has had nothing from a member for long while both have their roles."""
         if identity == self.plane.identity:
             return False
-        heard = replica.last_heard(identity)
+        received_at = replica.last_heard(identity)
         since = watch.since[identity]
-        return now - (since if heard is None else max(heard, since)) > self.dead_time
+        return now - (since if received_at is None else max(received_at, since)) > self.dead_time
 
-    def _wanted(self, now: int, watch: Watch, replica, alive: set[str]) -> Members:
+    def _desired_members(self, now: int, watch: Watch, replica, alive: set[str]) -> Members:
         """The members as they should be."""
         members = replica.members
-        silent = {name for name in members.all if self._is_silent(now, watch, replica, name)}
+        timed_out = {name for name in members.all if self._is_timed_out(now, watch, replica, name)}
         leaving = {name for name in members.all if replica.is_leaving(name)}
-        gone = [name for name in members.voters if name in silent]
-        gone += [name for name in members.voters if name in leaving - silent]
-        coming = self._coming(replica, gone, silent | leaving)
-        going = set(gone[: max(0, len(members.voters) + len(coming) - self.target)])
+        leavers = [name for name in members.voters if name in timed_out]
+        leavers += [name for name in members.voters if name in leaving - timed_out]
+        coming = self._coming(replica, leavers, timed_out | leaving)
+        going = set(leavers[: max(0, len(members.voters) + len(coming) - self.target)])
         voters = (*(name for name in members.voters if name not in going), *coming)
-        kept = [name for name in members.learners if name not in voters]
-        kept = [name for name in kept if name in alive or name not in silent]
-        kept += [name for name in members.voters if name in going and (name in alive or name in leaving)]
-        known = {*voters, *kept}
-        kept += [name for name in sorted(alive | set(replica.applicants)) if name not in known]
-        return Members(voters, tuple(kept[: max(0, MOST_MEMBERS - len(voters))]))
-
-    def _coming(self, replica, gone: list[str], absent: set[str]) -> list[str]:
-        """Learners that are to vote now: as many as are wanted, and have caught up."""
+        learners = [name for name in members.learners if name not in voters]
+        learners = [name for name in learners if name in alive or name not in timed_out]
+        learners += [name for name in members.voters if name in going and (name in alive or name in leaving)]
+        known = {*voters, *learners}
+        learners += [name for name in sorted(alive | set(replica.applicants)) if name not in known]
+        return Members(voters, tuple(learners[: max(0, MAX_MEMBERS - len(voters))]))
+
+    def _coming(self, replica, leavers: list[str], absent: set[str]) -> list[str]:
+        """Learners that are to vote now: as many as are desired, and have caught up."""
         members = replica.members
-        needed = max(0, self.target - (len(members.voters) - len(gone)))
+        needed = max(0, self.target - (len(members.voters) - len(leavers)))
         ready = [name for name in members.learners if name not in absent and replica.is_caught_up(name)]
         return ready[:needed]
 
--- a/tests/controlplane_simulation.py
+++ b/tests/controlplane_simulation.py
@@ -1,6 +1,6 @@
-"""Control processes in the simulation of the replicated log: parts, submissions, reads, and operators.
+"""Control processes in the simulation of the replicated log: shards, submissions, reads, and operators.
 
-What runs is the processes' own code: `Decisions`, `Part`, the states.
+What runs is the processes' own code: `Decisions`, `Shard`, the states.
 """
 
 import json
@@ -12,7 +12,7 @@
 from hopsail.controlplane.configuration_state import ConfigurationState
 from hopsail.controlplane.decisions import Decisions
 from hopsail.controlplane.messages import COMMAND, CommandCall, ReadCall
-from hopsail.controlplane.part import Part
+from hopsail.controlplane.shard import Shard
 from hopsail.net.counters import Counters
 from hopsail.replication.schedule import Schedule
 from hopsail.replication.simulation import Network, Node, Simulation, Violation
@@ -43,7 +43,7 @@
         self.identity, self.stopping = node.identity, False
         self.loop, self.counters = self, Counters("test")
         self.published = [0]  # revisions, in order
-        self.part = Part(
+        self.shard = Shard(
             0,
             node.replica,
             ConfigurationState(),
@@ -53,16 +53,16 @@
             lambda _, peer, message: simulation.send(node.identity, peer, message),
             self._applied,
             ConfigurationState.judging,
-            lambda act: self.after(decisions.STEP_PAUSE_MS, act),
+            lambda act: self.after(decisions.STEP_INTERVAL_MS, act),
         )
-        self.parts = [self.part]
+        self.shards = [self.shard]
 
     def _apply(self, state: ConfigurationState, index: int, command: Command) -> Result:
         self.simulation.check_entry(index, command)
         return state.apply(command)
 
-    def _applied(self, part: Part) -> None:
-        self.published.append(part.state.revision)
+    def _applied(self, shard: Shard) -> None:
+        self.published.append(shard.state.revision)
         if self.published[-1] < self.published[-2]:
             raise Violation(f"{self.identity} goes back: {self.published[-2:]}")
 
@@ -171,10 +171,10 @@
         process = self.process(node.identity)
         if process is None:
             return
-        process.part.pump()
+        process.shard.pump()
         if node.replica.is_leader:
             self.checker.leads(node.identity, node.replica.term)
-        process.part.compact()
+        process.shard.compact()
         self._wake_at(node, node.replica.due)
 
     def restore(self) -> None:
--- a/tests/feeds_simulation.py
+++ b/tests/feeds_simulation.py
@@ -40,7 +40,7 @@
         super().__init__(simulation, node)
         self.journal = Journal(simulation.random.getrandbits(62) + 1, 10_000)
         self.configuration_feed = ConfigurationFeed(
-            self.journal, self.after, lambda: self.part.state, lambda table: None
+            self.journal, self.after, lambda: self.shard.state, lambda table: None
         )
         settings = SimpleNamespace(
             node_name=self.identity, zone="z", bounds=SimpleNamespace(contact_ms=CONTACT_MS)
@@ -64,8 +64,8 @@
         for instance in instances:
             self.journal.set(Topic.INSTANCE, instance.identifier, encode(instance))
 
-    def _applied(self, part) -> None:
-        super()._applied(part)
+    def _applied(self, shard) -> None:
+        super()._applied(shard)
         self.configuration_feed.publish()
 
     def _tick(self) -> None:
--- a/tests/golden/test_golden_controlplane.py
+++ b/tests/golden/test_golden_controlplane.py
@@ -83,11 +83,11 @@
 def messages() -> dict:
     command, result = commands()["patch"].encode(), results()["refused"].encode()
     return {
-        "replica": ReplicaMessage(part=2, sender="127.0.0.1:7000", body=b"\x00\x01body"),
-        "command call": CommandCall(part=0, command=command),
+        "replica": ReplicaMessage(shard=2, sender="127.0.0.1:7000", body=b"\x00\x01body"),
+        "command call": CommandCall(shard=0, command=command),
         "command reply": CommandReply(decided=True, result=result),
         "command reply undecided": CommandReply(decided=False, result=b""),
-        "read call": ReadCall(part=0),
+        "read call": ReadCall(shard=0),
         "read reply": ReadReply(decided=True, body=b'{"Revision":1}'),
         "read reply undecided": ReadReply(decided=False, body=b""),
         "confirm call": ConfirmCall(),
--- a/tests/simulation/draw.py
+++ b/tests/simulation/draw.py
@@ -3,7 +3,7 @@
 from dataclasses import replace
 from random import Random
 
-from hopsail.controlplane.parts import part_of_service
+from hopsail.controlplane.shards import shard_of_service
 
 from . import steps
 from .disk import FULL, STALLED, WORKING
@@ -159,7 +159,7 @@
     """The holder of a roll-out dies in the middle of it."""
     random = Random(f"hand over/{seed}")
     model = random.randrange(len(SERVICES))
-    kill = steps.Kill(random.randint(200, 1200), -1 - part_of_service(SERVICES[model]), False, False, 5000)
+    kill = steps.Kill(random.randint(200, 1200), -1 - shard_of_service(SERVICES[model]), False, False, 5000)
     return Schedule(seed, WorldRules(fence_checked=False), (steps.NameWeights(0, model), kill))
 
 
@@ -208,7 +208,7 @@
     leave = [
         steps.LeaveHost(200 + 1500 * n, random.randrange(4), 0, 500, random.random() < 0.5) for n in range(3)
     ]
-    kill = steps.Kill(random.randint(300, 1500), -1 - part_of_service(SERVICES[model]), False, False, 5000)
+    kill = steps.Kill(random.randint(300, 1500), -1 - shard_of_service(SERVICES[model]), False, False, 5000)
     empty = steps.TroubleList(random.randint(500, 6000), EMPTY, 0)
     name = steps.NameWeights(100, model)
     return Schedule(seed, WorldRules(fence_checked=False), (lag, name, *leave, kill, empty))
--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -9,8 +9,8 @@
 
 from hopsail.controlplane.commands import Command, CommandKind, Result
 from hopsail.controlplane.configuration_state import ConfigurationState
-from hopsail.controlplane.part import Part
-from hopsail.controlplane.parts import CONFIGURATION_PART
+from hopsail.controlplane.shard import Shard
+from hopsail.controlplane.shards import CONFIGURATION_SHARD
 from hopsail.replication.messages import RequestVote, RequestVoteReply
 
 from .clock import MILLISECOND, SECOND
@@ -51,11 +51,11 @@
         self.invariant = invariant
 
 
-class CheckedPart(Part):
-    """A part whose entries and messages the checker sees."""
+class CheckedShard(Shard):
+    """A shard whose entries and messages the checker sees."""
 
     def __init__(self, *values, **named):
-        bound = signature(Part.__init__).bind(self, *values, **named)
+        bound = signature(Shard.__init__).bind(self, *values, **named)
         given, machine = bound.arguments, running.machine
         number, checker = given["number"], machine.world.checker
         apply, send, replica = given["apply"], given["send"], given["replica"]
@@ -66,9 +66,9 @@
             checker.applied(number, index, command, result)
             return result
 
-        def checked_send(part, peer: str, message) -> None:
-            checker.sends(machine, part, message)
-            send(part, peer, message)
+        def checked_send(shard, peer: str, message) -> None:
+            checker.sends(machine, shard, message)
+            send(shard, peer, message)
 
         def checked_take_ready():
             ready = take_ready()
@@ -86,7 +86,7 @@
 
     def __init__(self, world):
         self.world = world
-        self.entries: dict[tuple[int, int], tuple] = {}  # part and index -> what is committed there
+        self.entries: dict[tuple[int, int], tuple] = {}  # shard and index -> what is committed there
         self.carried_out: set[tuple[int, int]] = set()
         self.model = ConfigurationState()  # what the configuration's entries make of nothing
         self.model_index = 0
@@ -99,7 +99,7 @@
         self.orders: dict[str, tuple[int, object]] = {}  # host -> when and by whom it was last sent one
         self.acknowledged: list[tuple[int, int]] = []  # when, revision; rising
         self.newest = 0  # revision acknowledged
-        self.naming_parts: dict[tuple[str, int], int] = {}  # model and revision -> the part that took it
+        self.naming_parts: dict[tuple[str, int], int] = {}  # model and revision -> the shard that took it
         self.named: dict[str, int] = {}  # model -> revision acknowledged
         self.violation: Violation | None = None  # the first one
         self.faults: list[str] = []
@@ -119,25 +119,25 @@
 
     # The log.
 
-    def commits(self, part: int, entry) -> None:
+    def commits(self, shard: int, entry) -> None:
         """A replica has a committed entry to be applied."""
         shown = entry.term, entry.kind, entry.data
-        known = self.entries.setdefault((part, entry.index), shown)
+        known = self.entries.setdefault((shard, entry.index), shown)
         if known != shown:
-            self.fail(Invariant.SAME_LOG, f"entry {entry.index} of part {part} is {known} and {shown}")
+            self.fail(Invariant.SAME_LOG, f"entry {entry.index} of shard {shard} is {known} and {shown}")
 
-    def applied(self, part: int, index: int, command: Command, result: Result) -> None:
+    def applied(self, shard: int, index: int, command: Command, result: Result) -> None:
         """A process has applied an entry."""
         data = command.encode()
-        first = (part, index) not in self.carried_out
-        self.carried_out.add((part, index))
+        first = (shard, index) not in self.carried_out
+        self.carried_out.add((shard, index))
         if command.kind is CommandKind.NAME_REVISION:
-            self.naming_parts.setdefault((command.subject, command.number), part)
-        if part == CONFIGURATION_PART:
+            self.naming_parts.setdefault((command.subject, command.number), shard)
+        if shard == CONFIGURATION_SHARD:
             if index > self.model_index:
                 self.model_index = index
                 self._change_applied(command, data, result)
-        elif first and command.kind is CommandKind.ACQUIRE_DUTY:
+        elif first and command.kind is CommandKind.ACQUIRE_ROLE:
             self._granted(command, result)
 
     def _change_applied(self, command: Command, data: bytes, result: Result) -> None:
@@ -156,17 +156,17 @@
         self.highest_fence[service] = fence
         self.grants[(service, fence)] = command.owner
 
-    def sends(self, machine, part, message) -> None:
+    def sends(self, machine, shard, message) -> None:
         """A replica sends a message."""
         stands = isinstance(message, RequestVote) and not message.pre
         votes = isinstance(message, RequestVoteReply) and message.granted and not message.pre
         if not (stands or votes):
             return
         self.figures["votes"] += 1
-        replica = part.replica
+        replica = shard.replica
         if replica.commit_index and replica.identity not in replica.log.members_at(replica.commit_index).all:
             what = "stands" if stands else "votes"
-            self.fail(Invariant.REMOVED, f"{machine.name} {what} in part {part.number}, term {replica.term}")
+            self.fail(Invariant.REMOVED, f"{machine.name} {what} in part {shard.number}, term {replica.term}")
 
     # Calls from outside.
 
@@ -262,51 +262,51 @@
 
     def _check_control_plane(self, machine) -> None:
         program = machine.program
-        parts = getattr(program, "parts", None)
-        if parts is None:
+        shards = getattr(program, "shards", None)
+        if shards is None:
             return
-        revision = parts[CONFIGURATION_PART].state.revision
+        revision = shards[CONFIGURATION_SHARD].state.revision
         if revision < machine.seen_revision:
             self.fail(Invariant.NEVER_BACK, f"{machine.name}: {revision} after {machine.seen_revision}")
         machine.seen_revision = revision
         now = None
-        for part in parts:
-            if part.leads:
+        for shard in shards:
+            if shard.leads:
                 now = machine.loop_time if now is None else now
-                self._check_leader(machine, part, now)
+                self._check_leader(machine, shard, now)
 
-    def _check_leader(self, machine, part, now: int) -> None:
-        key = (part.number, part.replica.term)
+    def _check_leader(self, machine, shard, now: int) -> None:
+        key = (shard.number, shard.replica.term)
         other = self.leaders.setdefault(key, machine.host)
         if other != machine.host:
             self.fail(Invariant.ONE_LEADER, f"{other} and {machine.host} lead part {key[0]} in term {key[1]}")
-        lacks = self._lacks(part)
-        known_holder = self.lease_holders.get(part.number) is machine
-        if (known_holder and not lacks) or not part.replica.lease_valid(now):
+        lacks = self._lacks(shard)
+        known_holder = self.lease_holders.get(shard.number) is machine
+        if (known_holder and not lacks) or not shard.replica.lease_valid(now):
             return
         if lacks:
             self.fail(Invariant.KEPT, f"{machine.name} leads with {lacks}")
-        self._check_lease(machine, part)
+        self._check_lease(machine, shard)
 
-    def _lacks(self, part) -> str:
-        """What a part's state lacks of all that was acknowledged."""
-        if part.number == CONFIGURATION_PART:
-            known = part.state.revision
+    def _lacks(self, shard) -> str:
+        """What a shard's state lacks of all that was acknowledged."""
+        if shard.number == CONFIGURATION_SHARD:
+            known = shard.state.revision
             return f"{known}, {self.newest} was acknowledged" if known < self.newest else ""
         for model, revision in self.named.items():
-            known = part.state.revisions.get(model, 0)
-            if known < revision and self.naming_parts[(model, revision)] == part.number:
+            known = shard.state.revisions.get(model, 0)
+            if known < revision and self.naming_parts[(model, revision)] == shard.number:
                 return f"{model} {known}, {revision} was acknowledged"
         return ""
 
-    def _check_lease(self, machine, part) -> None:
-        holder = self.lease_holders.get(part.number)
-        self.lease_holders[part.number] = machine
+    def _check_lease(self, machine, shard) -> None:
+        holder = self.lease_holders.get(shard.number)
+        self.lease_holders[shard.number] = machine
         if holder is None or holder is machine or not holder.acts:
             return
-        theirs = holder.program.parts[part.number].replica
+        theirs = holder.program.shards[shard.number].replica
         if theirs.is_leader and theirs.lease_valid(holder.loop_time):
-            self.fail(Invariant.ONE_LEADER, f"{holder.name} and {machine.name} hold leases of {part.number}")
+            self.fail(Invariant.ONE_LEADER, f"{holder.name} and {machine.name} hold leases of {shard.number}")
 
     def _check_data_plane(self, machine) -> None:
         view = machine.program.view
--- a/tests/simulation/mutations.py
+++ b/tests/simulation/mutations.py
@@ -6,12 +6,12 @@
 
 from hopsail.configuration.followed import REVISION, FollowedConfiguration
 from hopsail.configuration.items import canonical
-from hopsail.controlplane.calls import Submission
+from hopsail.controlplane.forwarding import Submission
 from hopsail.controlplane.commands import CommandKind, Result
 from hopsail.controlplane.configuration_state import ConfigurationState
 from hopsail.controlplane.decisions import Decisions
-from hopsail.controlplane.part import Part
-from hopsail.controlplane.parts import CONFIGURATION_PART
+from hopsail.controlplane.shard import Shard
+from hopsail.controlplane.shards import CONFIGURATION_SHARD
 from hopsail.controlplane.rollouts import Rollouts
 from hopsail.controlplane.service_state import ServiceState
 from hopsail.controlplane.stopping import Ending
@@ -130,7 +130,7 @@
 
 def _any_member_answers_reads(original):
     def read_here(self, done):
-        configuration = self.parts[CONFIGURATION_PART].state.configuration
+        configuration = self.shards[CONFIGURATION_SHARD].state.configuration
         done(canonical(configuration) if configuration is not None else b"")
         return True
 
@@ -146,7 +146,7 @@
 def _refuses_when_a_call_ends(original):
     def replied(self, reply, error):
         if isinstance(error, Disconnected):
-            self.told(Result(412))
+            self.report(Result(412))
         else:
             original(self, reply, error)
 
@@ -174,9 +174,9 @@
 
     def apply(self, index, command):
         result = original(self, index, command)
-        if command.kind is not CommandKind.ACQUIRE_DUTY:
+        if command.kind is not CommandKind.ACQUIRE_ROLE:
             return result
-        self.duties[command.subject] = self.duties[command.subject]._replace(fence=1)
+        self.roles[command.subject] = self.roles[command.subject]._replace(fencing_token=1)
         return Result(200, value=1)
 
     return apply
@@ -211,10 +211,10 @@
 
 
 def _fails(original):
-    def told(self, change):
+    def handle_change(self, change):
         raise ValueError("a fault of the program")
 
-    return told
+    return handle_change
 
 
 MUTATIONS = (
@@ -236,7 +236,7 @@
     ),
     Mutation(
         "answered before the entry is applied",
-        Part,
+        Shard,
         "propose",
         _answers_before_the_entry_is_applied,
         Invariant.KEPT,
@@ -378,7 +378,7 @@
     ),
     Mutation(
         "refuses what it proposes",
-        Part,
+        Shard,
         "propose",
         _refuses_what_it_proposes,
         Invariant.TRUE_REFUSAL,
@@ -403,5 +403,5 @@
         Invariant.AVAILABLE,
         draw_two_losses,
     ),
-    Mutation("a callback fails", Rollouts, "told", _fails, Invariant.NO_FAULT, draw_hand_over),
+    Mutation("a callback fails", Rollouts, "handle_change", _fails, Invariant.NO_FAULT, draw_hand_over),
 )
--- a/tests/simulation/steps.py
+++ b/tests/simulation/steps.py
@@ -2,7 +2,7 @@
 
 `at` is in ms from the beginning of the schedule. A fault ends by itself after its time (`lasts`, ms). `who`
 names a machine of the control side when the step is played: a seat's number, or -1 - N for the leader of
-part N at that moment. A step that would lose more machines than may be lost at once does nothing."""
+shard N at that moment. A step that would lose more machines than may be lost at once does nothing."""
 
 from dataclasses import dataclass
 
--- a/tests/simulation/substitutes.py
+++ b/tests/simulation/substitutes.py
@@ -8,7 +8,7 @@
 
 from hopsail import process
 from hopsail.controlplane import plane
-from hopsail.controlplane.part import Part
+from hopsail.controlplane.shard import Shard
 from hopsail.dataplane import plane as data_plane
 from hopsail.http.client import HttpClient
 from hopsail.http.server import HttpServer
@@ -29,7 +29,7 @@
     SimulatedRpcServer,
     SimulatedSocket,
 )
-from .invariants import CheckedPart
+from .invariants import CheckedShard
 from .running import running
 
 USERS = (process, plane, data_plane, node)  # loaded, with all that they import, before names are looked up
@@ -58,7 +58,7 @@
     (HttpClient, SimulatedHttpClient),
     (Storage, _Storage),
     (DiskThread, _disk_thread),
-    (Part, CheckedPart),
+    (Shard, CheckedShard),
 ]
 
 
--- a/tests/simulation/world.py
+++ b/tests/simulation/world.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from hopsail.controlplane.parts import PARTS
+from hopsail.controlplane.shards import SHARD_COUNT
 from hopsail.hosts.instance import Phase
 
 from .clock import MILLISECOND, SECOND, Clock
@@ -117,12 +117,12 @@
         """The machine with an address."""
         return self.machines.get(host)
 
-    def leader(self, part: int) -> Machine | None:
-        """Who leads a part, by the latest term."""
+    def leader(self, shard: int) -> Machine | None:
+        """Who leads a shard, by the latest term."""
         found = [
-            (machine.program.parts[part].replica.term, machine)
+            (machine.program.shards[shard].replica.term, machine)
             for machine in self.machines.values()
-            if machine.kind == "core" and machine.runs and machine.program.parts[part].leads
+            if machine.kind == "core" and machine.runs and machine.program.shards[shard].leads
         ]
         return max(found, key=lambda one: one[0])[1] if found else None
 
@@ -415,11 +415,11 @@
         self.after(RETURNED_FOR, end)
 
     def _terms(self) -> list[int | None]:
-        """The term of each part's leader."""
-        leaders = [self.leader(part) for part in range(PARTS)]
+        """The term of each shard's leader."""
+        leaders = [self.leader(shard) for shard in range(SHARD_COUNT)]
         return [
-            leader.program.parts[part].replica.term if leader is not None else None
-            for part, leader in enumerate(leaders)
+            leader.program.shards[shard].replica.term if leader is not None else None
+            for shard, leader in enumerate(leaders)
         ]
 
     def core_down(self, power: bool, wiped: list[Seat], lasts: int) -> None:
@@ -481,18 +481,18 @@
 
     def _lacking_member(self) -> str:
         hosts = {machine.host for machine in self.core}
-        for number in range(len(self.core[0].program.parts)):
+        for number in range(len(self.core[0].program.shards)):
             leader = self.leader(number)
             if leader is None:
                 return f"part {number} is not led"
-            replica = leader.program.parts[number].replica
+            replica = leader.program.shards[number].replica
             voters = {identity.rpartition(":")[0] for identity in replica.voters}
             if voters != hosts:
                 return f"part {number} has the voters {sorted(voters)}, not {sorted(hosts)}"
             for machine in self.core:
-                other = machine.program.parts[number].replica
+                other = machine.program.shards[number].replica
                 if other.recovering or other.applied_index < replica.commit_index:
-                    return f"{machine.name} lacks entries of part {number}"
+                    return f"{machine.name} lacks entries of shard {number}"
         return ""
 
     def _lacking_edge(self) -> str:
--- a/tests/test_control_simulation.py
+++ b/tests/test_control_simulation.py
@@ -34,7 +34,7 @@
 from simulation.world import WorldRules
 
 from hopsail.controlplane import plane
-from hopsail.controlplane.part import Part
+from hopsail.controlplane.shard import Shard
 from hopsail.replication.messages import RequestVoteReply
 from hopsail.rpc.channel import Channel
 
@@ -65,7 +65,7 @@
 
 
 def explained(schedule: Schedule) -> None:
-    """Plays a schedule; one that fails is told by its shortest part."""
+    """Plays a schedule; one that fails is told by its shortest shard."""
     violation = violation_of(schedule)
     if violation is not None:
         pytest.fail(f"{violation}\n{shrink(schedule, breaks(violation.invariant))}")
@@ -120,7 +120,7 @@
 
 def test_nothing_of_the_simulation_stays_in_place():
     play(draw(3))
-    assert plane.Channel is Channel and plane.Part is Part
+    assert plane.Channel is Channel and plane.Shard is Shard
 
 
 def test_only_halves_beside_a_loss_may_leave_no_majority():
@@ -150,12 +150,12 @@
 def test_a_vote_of_a_removed_member_is_noticed():
     world = play(draw_thaw(1))
     machine = world.core[0]
-    part = machine.program.parts[0]
-    vote = RequestVoteReply(part.replica.term, True, False)
-    world.checker.sends(machine, part, vote)  # it is a member
-    part.replica.identity = "10.0.0.99:7000"
+    shard = machine.program.shards[0]
+    vote = RequestVoteReply(shard.replica.term, True, False)
+    world.checker.sends(machine, shard, vote)  # it is a member
+    shard.replica.identity = "10.0.0.99:7000"
     with pytest.raises(Violation) as raised:
-        world.checker.sends(machine, part, vote)
+        world.checker.sends(machine, shard, vote)
     assert raised.value.invariant is Invariant.REMOVED
 
 
--- a/tests/test_controlplane_bad_disks.py
+++ b/tests/test_controlplane_bad_disks.py
@@ -105,7 +105,7 @@
     assert cluster.submit(leader, put(1, 3)).status == 412
     assert [cluster.read(number) for number in (1, 2, 3)] == [2, 2, 2]
     disks.mend()
-    replica = cluster.planes[leader].parts[0].replica
+    replica = cluster.planes[leader].shards[0].replica
     cluster.until(lambda: not replica.durability.failing and replica.durability.is_clean(replica.log))
     assert replica.durability.durable_index == replica.last_index
     restart_all(cluster)
@@ -120,8 +120,8 @@
     for revision in (1, 2, 3):
         assert cluster.submit(leader, put(revision - 1, revision)).status == 200
     disks.mend()
-    replica = cluster.planes[follower].parts[0].replica
-    wanted = max(plane.parts[0].replica.commit_index for plane in cluster.planes.values())
+    replica = cluster.planes[follower].shards[0].replica
+    wanted = max(plane.shards[0].replica.commit_index for plane in cluster.planes.values())
     cluster.until(lambda: replica.durability.durable_index >= wanted)
     other = ({1, 2, 3} - {leader, follower}).pop()
     cluster.kill(other)
@@ -134,7 +134,7 @@
     full = leader % 3 + 1
     disks.fill(full)
     assert cluster.submit(leader, put(0, 1)).status == 200
-    assert cluster.planes[full].parts[0].replica.durability.durable_index < 2
+    assert cluster.planes[full].shards[0].replica.durability.durable_index < 2
     cluster.kill(leader)
     assert cluster.try_submit(full, put(1, 2)) is None
     disks.mend()
--- a/tests/test_controlplane_bad_input.py
+++ b/tests/test_controlplane_bad_input.py
@@ -11,15 +11,17 @@
 
 from hopsail.configuration.checker import parse_configuration
 from hopsail.configuration.codes import ResultCode
-from hopsail.controlplane.operator import READ_HERE_BYTES
-from hopsail.controlplane.parts import part_of_service
-from hopsail.controlplane.plane import BODY_BYTES
+from hopsail.controlplane.operator import MAX_PARSED_HERE_BYTES
+from hopsail.controlplane.shards import shard_of_service
+from hopsail.controlplane.plane import MAX_BODY_BYTES
 from hopsail.feed.topics import Topic
 from hopsail.http.client import HttpClient
 from hopsail.net.loop import Loop
 
 CONFIG, VERSION = "/-/config", "/-/version-put"
-FILLER = [{"Name": f"t-{number}", "ApiKeys": [f"key-{number}"]} for number in range(READ_HERE_BYTES // 40)]
+FILLER = [
+    {"Name": f"t-{number}", "ApiKeys": [f"key-{number}"]} for number in range(MAX_PARSED_HERE_BYTES // 40)
+]
 
 
 class Operator:
@@ -88,7 +90,7 @@
 def large(content: bytes) -> bytes:
     """The same with so many tenants that only the leader reads it."""
     filled = content.replace(b'"Tenants": [', b'"Tenants": ' + text(FILLER)[:-1] + b", ", 1)
-    assert len(filled) > READ_HERE_BYTES
+    assert len(filled) > MAX_PARSED_HERE_BYTES
     return filled
 
 
@@ -250,7 +252,7 @@
 
 @pytest.mark.parametrize("kind", ["told", "told and sent", "chunks"])
 def test_a_body_over_the_bound_gets_413_and_its_connection_ends_in_order(cluster, operator, kind):
-    size = BODY_BYTES + 1
+    size = MAX_BODY_BYTES + 1
     sent = {
         "told": head(f"content-length: {size}"),
         "told and sent": head(f"content-length: {size}") + b" " * size,
@@ -266,8 +268,8 @@
 
 
 def test_a_body_as_large_as_the_bound_is_judged(cluster, operator):
-    body = GOOD[:-1] + b" " * (BODY_BYTES - len(GOOD)) + b"x"
-    assert len(body) == BODY_BYTES
+    body = GOOD[:-1] + b" " * (MAX_BODY_BYTES - len(GOOD)) + b"x"
+    assert len(body) == MAX_BODY_BYTES
     for number in both(cluster):
         assert operator.clear(number, "PUT", CONFIG, body, base="5")[0] == 400
 
@@ -276,9 +278,9 @@
 
 
 def test_a_version_of_a_model_that_nobody_knows_yet_is_kept_for_when_it_is(tmp_path, monkeypatch):
-    """It is named in the part of the model's own name, later ones in that of its service."""
+    """It is named in the shard of the model's own name, later ones in that of its service."""
     model, service = "m-unknown", "s-of-it"
-    assert part_of_service(model) != part_of_service(service)
+    assert shard_of_service(model) != shard_of_service(service)
     monkeypatch.setattr(Loop, "on_signal", lambda self, number, act: None)
     cluster = Cluster(tmp_path)
     planes, operator = cluster.planes.values(), Operator(cluster)
--- a/tests/test_controlplane_cluster.py
+++ b/tests/test_controlplane_cluster.py
@@ -1,6 +1,6 @@
 """Control processes together: what is acknowledged is kept and read back everywhere, whatever fails.
 
-First the processes' parts and calls in a simulation with faults, then whole processes on loopback addresses.
+First the processes' shards and calls in a simulation with faults, then whole processes on loopback addresses.
 """
 
 from random import Random
@@ -9,7 +9,7 @@
 from controlplane_simulation import ControlSimulation, Operators, OperatorSchedule
 
 from hopsail.controlplane.configuration_state import ConfigurationState
-from hopsail.controlplane.calls import ANSWER_WITHIN
+from hopsail.controlplane.forwarding import ANSWER_TIMEOUT_NS
 from hopsail.replication.schedule import CALM, DEFAULT_WEIGHTS, ROUGH, Weights
 from hopsail.replication.simulation import Violation
 from hopsail.replication.state import MILLISECOND
@@ -92,7 +92,7 @@
     simulation.crash(wiped, wipe=True)
     simulation.start(wiped)
     assert b'"Revision":%d' % change.revision in operators.read_until_known(wiped)
-    simulation.run_until(lambda: simulation.process(wiped).part.state.revision == change.revision)
+    simulation.run_until(lambda: simulation.process(wiped).shard.state.revision == change.revision)
     assert simulation.process(wiped).published[-1] == change.revision
 
 
@@ -103,7 +103,7 @@
     for _ in range(150):  # more than the entries that are kept beside a snapshot
         change = acknowledged(simulation, operators)
     simulation.start(away)
-    simulation.run_until(lambda: simulation.process(away).part.state.revision == change.revision)
+    simulation.run_until(lambda: simulation.process(away).shard.state.revision == change.revision)
     assert simulation.process(away).published[-1] == change.revision
     operators.check_end()
 
@@ -122,7 +122,7 @@
     newer = acknowledged(simulation, operators, name=simulation.settled_leader())
     assert simulation.process(old).published[-1] < newer.revision
     simulation.heal()
-    simulation.run_until(lambda: simulation.process(old).part.state.revision >= newer.revision)
+    simulation.run_until(lambda: simulation.process(old).shard.state.revision >= newer.revision)
     operators.check_end()
 
 
@@ -136,7 +136,7 @@
     simulation.process("r0").read_configuration(lambda body: told.append((simulation.now, body)))
     simulation.run_until(lambda: len(told) == 2)
     assert [answer for _, answer in told] == [None, None]
-    assert all(when - began <= ANSWER_WITHIN + MILLISECOND for when, _ in told)
+    assert all(when - began <= ANSWER_TIMEOUT_NS + MILLISECOND for when, _ in told)
     simulation.run(3000 * MILLISECOND)
     assert len(told) == 2  # once
     operators.check_end()
@@ -328,9 +328,9 @@
 
 def test_a_part_that_answers_before_the_entry_is_applied_is_found(monkeypatch):
     from hopsail.controlplane.commands import Result
-    from hopsail.controlplane.part import Part
+    from hopsail.controlplane.shard import Shard
 
-    original = Part.propose
+    original = Shard.propose
 
     def proposes(self, now, command, done):
         def nothing(result):
@@ -341,7 +341,7 @@
             done(Result(200, value=0))
         return accepted
 
-    monkeypatch.setattr(Part, "propose", proposes)
+    monkeypatch.setattr(Shard, "propose", proposes)
     with pytest.raises(Violation):
         for seed in range(SCHEDULES):
             play(seed)
--- a/tests/test_controlplane_compaction.py
+++ b/tests/test_controlplane_compaction.py
@@ -1,4 +1,4 @@
-"""Snapshots of a part: encoded in steps, from the state as it was when they began."""
+"""Snapshots of a shard: encoded in steps, from the state as it was when they began."""
 
 import json
 
@@ -6,15 +6,15 @@
 from steps_taken import in_one_step, taken_to_end
 
 from hopsail.controlplane.compaction import (
-    BYTES_AT_ONCE,
-    ITEMS_A_STEP,
-    ITEMS_READ_A_STEP,
+    MAX_BYTES_PER_STEP,
+    MAX_ITEMS_ENCODED_PER_STEP,
+    MAX_ITEMS_DECODED_PER_STEP,
     Compaction,
-    json_steps,
-    reading_json,
+    json_encode_steps,
+    json_decode_steps,
 )
 from hopsail.controlplane.configuration_state import ConfigurationState
-from hopsail.controlplane.part import Part
+from hopsail.controlplane.shard import Shard
 from hopsail.replication.state import Members, Ready, Snapshot
 
 TREES = [
@@ -23,10 +23,13 @@
     [],
     {"configuration": None, "taken": {}},
     {"configuration": {"Revision": 3, "Routes": [], "Limits": {}, "é": "\ud800\u2028"}, "taken": {"a": 1}},
-    {"list": list(range(ITEMS_A_STEP)), "longer": [{"n": [n]} for n in range(3 * ITEMS_A_STEP + 1)]},
     {
-        "taken": {str(n): n for n in range(2 * ITEMS_A_STEP)},
-        "one": {str(n): {} for n in range(ITEMS_A_STEP + 1)},
+        "list": list(range(MAX_ITEMS_ENCODED_PER_STEP)),
+        "longer": [{"n": [n]} for n in range(3 * MAX_ITEMS_ENCODED_PER_STEP + 1)],
+    },
+    {
+        "taken": {str(n): n for n in range(2 * MAX_ITEMS_ENCODED_PER_STEP)},
+        "one": {str(n): {} for n in range(MAX_ITEMS_ENCODED_PER_STEP + 1)},
     },
     {"deep": {"deeper": {"deepest": {"x": [1, 2.5, True, None]}}}},
 ]
@@ -34,23 +37,23 @@
 
 @pytest.mark.parametrize("tree", TREES)
 def test_steps_add_up_to_the_json_of_the_whole(tree):
-    assert b"".join(json_steps(tree)) == json.dumps(tree, separators=(",", ":")).encode()
+    assert b"".join(json_encode_steps(tree)) == json.dumps(tree, separators=(",", ":")).encode()
 
 
 def read_in_steps(data: bytes) -> tuple[int, object]:
     """How many pauses the reading makes, and what is read."""
-    return taken_to_end(reading_json(data))
+    return taken_to_end(json_decode_steps(data))
 
 
 @pytest.mark.parametrize("tree", TREES)
 def test_what_is_read_in_steps_is_what_was_encoded(tree):
-    data = b"".join(json_steps(tree))
+    data = b"".join(json_encode_steps(tree))
     assert read_in_steps(data)[1] == tree == json.loads(data)
 
 
 @pytest.mark.parametrize("tree", TREES)
 def test_what_is_cut_short_or_has_more_after_it_is_not_read(tree):
-    data = b"".join(json_steps(tree))
+    data = b"".join(json_encode_steps(tree))
     for wrong in [data[:end] for end in range(0, len(data), max(1, len(data) // 200))] + [data + b"0"]:
         with pytest.raises(ValueError):
             read_in_steps(wrong)
@@ -63,11 +66,11 @@
 
 
 def test_a_long_list_and_a_long_object_are_read_in_steps():
-    count = 10 * ITEMS_READ_A_STEP
+    count = 10 * MAX_ITEMS_DECODED_PER_STEP
     long_list = {"configuration": {"Tenants": [{"Name": f"t-{n}"} for n in range(count)]}, "taken": {}}
     long_object = {"configuration": None, "taken": {str(n): n for n in range(count)}}
     for tree in (long_list, long_object):
-        pauses, read = read_in_steps(b"".join(json_steps(tree)))
+        pauses, read = read_in_steps(b"".join(json_encode_steps(tree)))
         assert read == tree and pauses >= 9
 
 
@@ -79,11 +82,11 @@
 
 def test_each_turn_is_short():
     tree = {"configuration": {"Tenants": [{"Name": f"tenant-{n}"} for n in range(48_000)]}, "taken": {}}
-    compaction = Compaction(7, json_steps(tree))
+    compaction = Compaction(7, json_encode_steps(tree))
     turns, before = 0, 0
-    while (data := compaction.go_on()) is None:
+    while (data := compaction.advance()) is None:
         now = sum(map(len, compaction._encoded))
-        assert now - before < 2 * BYTES_AT_ONCE
+        assert now - before < 2 * MAX_BYTES_PER_STEP
         turns, before = turns + 1, now
     assert turns > 10 and json.loads(data) == tree
 
@@ -99,7 +102,7 @@
 
 
 class Replica:
-    """What a part asks of a replica when it takes a snapshot."""
+    """What a shard asks of a replica when it takes a snapshot."""
 
     is_leader = recovering = False
     snapshot_due, applied_index, term = True, 7, 1
@@ -120,30 +123,30 @@
     replica = Replica()
     nothing = lambda *_: None  # noqa: E731
     apply = lambda state, index, command: state.apply(command)  # noqa: E731
-    return Part(
+    return Shard(
         0, replica, state, in_one_step(ConfigurationState.decode), apply, nothing, nothing, nothing
     ), replica
 
 
 def test_part_goes_on_between_steps_and_names_the_index_at_which_it_began():
-    part, replica = part_with_large_state()
-    begun = dict(part.state.taken)
-    part.compact()
+    shard, replica = part_with_large_state()
+    begun = dict(shard.state.taken)
+    shard.compact()
     assert not replica.compacted
     replica.applied_index = 9
-    part.state.taken["later"] = 1
-    part.compact()
+    shard.state.taken["later"] = 1
+    shard.compact()
     while not replica.compacted:
-        part.pump()
+        shard.pump()
     ((index, data),) = replica.compacted
     assert index == 7 and ConfigurationState.decode(data).taken == begun
 
 
 def test_installed_snapshot_ends_one_that_is_being_encoded():
-    part, replica = part_with_large_state()
-    part.compact()
+    shard, replica = part_with_large_state()
+    shard.compact()
     replica.snapshot_due = False
     replica.readies = [Ready(installed=Snapshot(9, 1, Members(), ConfigurationState().encode()))]
     for _ in range(50):
-        part.pump()
-    assert not replica.compacted and part.state.taken == {}
+        shard.pump()
+    assert not replica.compacted and shard.state.taken == {}
--- a/tests/test_controlplane_contact.py
+++ b/tests/test_controlplane_contact.py
@@ -5,8 +5,8 @@
 import pytest
 
 from hopsail.controlplane.contact import (
-    ASK_AGAIN_AFTER,
-    ASK_EVERY,
+    RETRY_INTERVAL_NS,
+    CONFIRM_INTERVAL_NS,
     CONFIRM,
     ConfirmReply,
     MajorityContact,
@@ -149,10 +149,10 @@
     process.replica.leader = "other"
     for _ in range(100):
         process.tick(10 * MS)
-    assert SECOND // ASK_EVERY < len(process.calls) <= SECOND // ASK_AGAIN_AFTER + 1
+    assert SECOND // CONFIRM_INTERVAL_NS < len(process.calls) <= SECOND // RETRY_INTERVAL_NS + 1
     process.answer(0)
     process.calls.clear()
-    process.tick(ASK_AGAIN_AFTER)
+    process.tick(RETRY_INTERVAL_NS)
     process.replica.leader = "third"
     process.tick(MS)
     assert [call[0] for call in process.calls] == ["other", "third"]
@@ -168,7 +168,7 @@
         while process.calls:
             asked += 1
             process.answer(0)
-    assert asked <= 2 * SECOND // ASK_EVERY + 1
+    assert asked <= 2 * SECOND // CONFIRM_INTERVAL_NS + 1
 
 
 def test_it_tells_when_there_is_word_again(process):
@@ -188,7 +188,7 @@
 def test_words_that_wait_are_bounded_and_the_newest_counts(process):
     process.replica.leader = "other"
     for index in range(100):
-        process.tick(ASK_EVERY)
+        process.tick(CONFIRM_INTERVAL_NS)
         process.answer(index)
     process.replica.applied_index = 99
     assert process.contact.age_ms() == 0
--- a/tests/test_controlplane_decisions.py
+++ b/tests/test_controlplane_decisions.py
@@ -10,7 +10,7 @@
 from test_controlplane_cluster import acknowledged, others, play, started
 
 from hopsail.controlplane import configuration_state, decisions
-from hopsail.controlplane.calls import ANSWER_WITHIN, CALL_TIMEOUT
+from hopsail.controlplane.forwarding import ANSWER_TIMEOUT_NS, CALL_TIMEOUT_NS
 from hopsail.controlplane.commands import Command, CommandKind
 from hopsail.controlplane.configuration_state import digest_of
 from hopsail.controlplane.decisions import Confirmation
@@ -144,7 +144,7 @@
         self.process.after(0, lambda: original_begin(self))
 
     def look(self):
-        if instant == "confirmed" and self.part.replica.read_ready(self.token):
+        if instant == "confirmed" and self.shard.replica.read_ready(self.token):
             freeze()
             done, self.done = self.done, lambda is_true: self.process.after(0, lambda: done(is_true))
         original_look(self)
@@ -161,13 +161,13 @@
     taker = others(simulation, leader)[0]
     simulation.cut(taker, leader)  # it hears of the leader, its calls do not arrive
     told = submitted(simulation, taker, put(base, 900))
-    simulation.run(CALL_TIMEOUT + MILLISECOND)  # about to offer it again
+    simulation.run(CALL_TIMEOUT_NS + MILLISECOND)  # about to offer it again
     simulation.heal()
     simulation.freeze(taker, FREEZE)
     simulation.run_until(lambda: told)
     simulation.run(2000 * MILLISECOND)
     assert told == [None]
-    assert simulation.process(simulation.settled_leader()).part.state.revision == base
+    assert simulation.process(simulation.settled_leader()).shard.state.revision == base
     operators.check_end()
 
 
@@ -203,7 +203,7 @@
             simulation.cut(other, old)
     began = simulation.now
     assert answer_of(simulation, old, commands[kind]) is None
-    assert simulation.now - began <= ANSWER_WITHIN + MILLISECOND
+    assert simulation.now - began <= ANSWER_TIMEOUT_NS + MILLISECOND
 
 
 @pytest.mark.parametrize("kind", ["stale", "ahead", "invalid", "again"])
@@ -220,7 +220,7 @@
     command, status = commands[kind]
     for name in simulation.nodes:
         assert answer_of(simulation, name, command).status == status
-    assert simulation.process(simulation.settled_leader()).part.state.revision == second.revision
+    assert simulation.process(simulation.settled_leader()).shard.state.revision == second.revision
 
 
 # Several under way at once.
@@ -243,7 +243,7 @@
     simulation.run_until(lambda: all(told))
     assert [answers[0].status for answers in told] == [200] * 9
     assert simulation.nodes[leader].replica.last_index == before + 1
-    assert simulation.process(leader).part.deciding == {}
+    assert simulation.process(leader).shard.deciding == {}
 
 
 def test_one_that_waited_for_the_same_change_gets_a_verdict_of_its_own(monkeypatch):
@@ -303,7 +303,7 @@
     """Once all copies have arrived: what is in force was never refused. How many were taken."""
     simulation.restore()
     simulation.run(8000 * MILLISECOND)
-    state = simulation.process(simulation.run_until(simulation.settled_leader)).part.state
+    state = simulation.process(simulation.run_until(simulation.settled_leader)).shard.state
     taken = [copies for copies in sent if digest_of(copies.command) in state.taken]
     for copies in sent:
         assert copies.statuses <= ({200} if copies in taken else {400, 412}), copies.command
@@ -334,25 +334,25 @@
 @pytest.fixture
 def in_steps(monkeypatch):
     """Every change counts as large."""
-    monkeypatch.setattr(configuration_state, "LARGE_BYTES", 0)
+    monkeypatch.setattr(configuration_state, "MIN_LARGE_BODY_BYTES", 0)
 
 
 @pytest.mark.parametrize("seed", range(15))
 def test_nothing_acknowledged_is_lost_while_changes_are_applied_in_steps(in_steps, monkeypatch, seed):
-    monkeypatch.setattr(decisions, "STEP_PAUSE_MS", (1, 30, 200)[seed % 3])
+    monkeypatch.setattr(decisions, "STEP_INTERVAL_MS", (1, 30, 200)[seed % 3])
     play(seed, snapshot_after=(3, 200)[seed % 2])
 
 
 def test_a_new_leader_reads_nothing_before_it_has_applied_what_was_acknowledged(in_steps, monkeypatch):
     simulation, operators = started()
     acknowledged(simulation, operators)
-    monkeypatch.setattr(decisions, "STEP_PAUSE_MS", 3000)
+    monkeypatch.setattr(decisions, "STEP_INTERVAL_MS", 3000)
     leader = simulation.settled_leader()
     change = operators.change(name=leader)
     simulation.run_until(lambda: change.result)
     simulation.crash(leader)
     new = simulation.run_until(simulation.settled_leader)
-    assert simulation.process(new).part.state.revision < change.revision
+    assert simulation.process(new).shard.state.revision < change.revision
     assert operators.read_until_known(new)  # the read's checker has looked at it
     assert answer_of(simulation, new, change.command).status == 200
     operators.check_end()
--- a/tests/test_controlplane_kept.py
+++ b/tests/test_controlplane_kept.py
@@ -6,16 +6,21 @@
 import pytest
 
 from hopsail.configuration.view import RouteTable
-from hopsail.controlplane import kept_reader
-from hopsail.controlplane.kept_reader import HOST_EVERY, LEAST_TOKENS, STORE_EVERY, KeptReader
-from hopsail.controlplane.parts import PARTS, part_of_service
+from hopsail.controlplane import prefix_cache_reader
+from hopsail.controlplane.prefix_cache_reader import (
+    HOST_INTERVAL_NS,
+    MIN_TOKENS,
+    STORE_INTERVAL_NS,
+    PrefixCacheReader,
+)
+from hopsail.controlplane.shards import SHARD_COUNT, shard_of_service
 from hopsail.feed.journal import Journal
 from hopsail.feed.topics import Topic
 from hopsail.hosts.instance import Address, Phase
 from hopsail.http.message import Response
 from hopsail.net.counters import Counters
 
-MANY = LEAST_TOKENS + 88
+MANY = MIN_TOKENS + 88
 HOST, STORE = "i-1", "10.9.0.2:8165"
 SERVICES = [
     {"Name": "s-a", "Runtime": {"Models": [{"Name": "m-1"}]}},
@@ -35,11 +40,13 @@
         self.http = SimpleNamespace(call=self._call)
         self.calls: list[tuple[tuple, str, object]] = []
         self.hosts = {HOST: self._host(HOST, "s-a", 1)}
-        self.parts = [SimpleNamespace(leads=True, replica=SimpleNamespace(term=3)) for _ in range(PARTS)]
+        self.shards = [
+            SimpleNamespace(leads=True, replica=SimpleNamespace(term=3)) for _ in range(SHARD_COUNT)
+        ]
         self.platform = SimpleNamespace(view=SimpleNamespace(by_service=self._by_service))
         self.configure(services)
         self.look = None
-        self.reader = KeptReader(self)
+        self.reader = PrefixCacheReader(self)
 
     def configure(self, services) -> None:
         self.table = RouteTable({"Revision": 1, "Routes": [], "Services": services})
@@ -67,7 +74,9 @@
         self.look()
         return self.calls
 
-    def answer(self, body, status: int = 200, address=("10.0.0.1", 8080), after: int = HOST_EVERY) -> str:
+    def answer(
+        self, body, status: int = 200, address=("10.0.0.1", 8080), after: int = HOST_INTERVAL_NS
+    ) -> str:
         """Answers the next call to a holder; the path that was asked."""
         done, path = next((done, path) for asked, path, done in self.turn(after) if asked == address)
         if body is None:
@@ -115,13 +124,13 @@
 def test_the_tokens_kept_now_count_whatever_the_sign(plane):
     plane.answer(events(plus(1, "aa", 2000), minus(2, "aa", 900)))
     assert plane.kept() == {f"{HOST} s1 aa": 900}
-    plane.answer(events(minus(3, "aa", LEAST_TOKENS - 1)))
+    plane.answer(events(minus(3, "aa", MIN_TOKENS - 1)))
     assert plane.kept() == {}
 
 
 def test_small_parts_and_those_without_salt_are_not_fed_on(plane):
-    plane.answer(events(plus(1, "aa", LEAST_TOKENS - 1), plus(2, "bb", salt=""), plus(3, "cc", LEAST_TOKENS)))
-    assert plane.kept() == {f"{HOST} s1 cc": LEAST_TOKENS}
+    plane.answer(events(plus(1, "aa", MIN_TOKENS - 1), plus(2, "bb", salt=""), plus(3, "cc", MIN_TOKENS)))
+    assert plane.kept() == {f"{HOST} s1 cc": MIN_TOKENS}
 
 
 def test_the_same_part_under_two_salts_is_two_entries(plane):
@@ -174,7 +183,7 @@
     plane.answer(events(plus(1, "aa")))
     plane.hosts.clear()
     plane.turn()
-    assert (plane.kept(), HOST in plane.reader.holders) == ({}, False)
+    assert (plane.kept(), HOST in plane.reader.sources) == ({}, False)
 
 
 def test_a_draining_host_is_no_holder(plane):
@@ -185,7 +194,7 @@
 
 
 def test_an_answer_that_comes_after_its_holder_has_gone_counts_for_nothing(plane):
-    ((_, _, done), *_) = plane.turn(HOST_EVERY)
+    ((_, _, done), *_) = plane.turn(HOST_INTERVAL_NS)
     plane.hosts.clear()
     plane.turn()
     done(Response(200, [], json.dumps(events(plus(1, "aa"))).encode()))
@@ -193,7 +202,7 @@
 
 
 def test_an_answer_to_an_earlier_holder_of_the_name_counts_for_nothing(plane):
-    ((_, _, done), *_) = plane.turn(HOST_EVERY)
+    ((_, _, done), *_) = plane.turn(HOST_INTERVAL_NS)
     host = plane.hosts.pop(HOST)
     plane.turn()
     plane.hosts[HOST] = host
@@ -204,24 +213,24 @@
 
 def test_only_services_whose_part_is_led_here_are_read(plane):
     plane.answer(events(plus(1, "aa")))
-    plane.parts[part_of_service("s-a")].leads = False
-    assert all(address != ("10.0.0.1", 8080) for address, _, _ in plane.turn(HOST_EVERY))
+    plane.shards[shard_of_service("s-a")].leads = False
+    assert all(address != ("10.0.0.1", 8080) for address, _, _ in plane.turn(HOST_INTERVAL_NS))
     assert plane.kept() == {}
-    plane.parts[part_of_service("s-a")].leads = True
+    plane.shards[shard_of_service("s-a")].leads = True
     assert plane.answer(events(plus(1, "aa"))) == "/-/kv-events?Since=0"
 
 
 def test_hosts_without_models_are_not_read(plane):
     plane.hosts = {"i-2": plane._host("i-2", "s-plain", 2)}
-    assert [address for address, _, _ in plane.turn(HOST_EVERY)] == [("10.9.0.2", 8165)]
+    assert [address for address, _, _ in plane.turn(HOST_INTERVAL_NS)] == [("10.9.0.2", 8165)]
 
 
 def test_a_store_is_told_up_and_down_and_forgotten(plane):
     address = ("10.9.0.2", 8165)
-    plane.answer(events(plus(1, "aa")), address=address, after=STORE_EVERY)
+    plane.answer(events(plus(1, "aa")), address=address, after=STORE_INTERVAL_NS)
     assert plane.journal.get(Topic.STORE, "s-store") == b"3 up"
     assert plane.kept() == {f"{STORE} s1 aa": MANY}
-    plane.answer(None, address=address, after=STORE_EVERY)
+    plane.answer(None, address=address, after=STORE_INTERVAL_NS)
     assert plane.journal.get(Topic.STORE, "s-store") == b"3 down"
     plane.configure(SERVICES[:2])
     plane.turn()
@@ -231,26 +240,29 @@
 
 def test_a_store_that_passes_to_another_service_starts_anew(plane):
     address = ("10.9.0.2", 8165)
-    plane.answer(events(plus(1, "aa")), address=address, after=STORE_EVERY)
+    plane.answer(events(plus(1, "aa")), address=address, after=STORE_INTERVAL_NS)
     plane.configure([{"Name": "s-other", "StoreAddr": STORE}])
-    assert plane.answer(events(plus(1, "aa")), address=address, after=STORE_EVERY) == "/-/kv-events?Since=0"
+    assert (
+        plane.answer(events(plus(1, "aa")), address=address, after=STORE_INTERVAL_NS)
+        == "/-/kv-events?Since=0"
+    )
     assert plane.journal.get(Topic.STORE, "s-store") is None
     assert plane.journal.get(Topic.STORE, "s-other") == b"3 up"
 
 
 def test_a_store_without_a_usable_address_is_passed_over(plane):
     plane.configure([{"Name": "s-store", "StoreAddr": "nowhere"}, SERVICES[0]])
-    assert [address for address, _, _ in plane.turn(HOST_EVERY)] == [("10.0.0.1", 8080)]
+    assert [address for address, _, _ in plane.turn(HOST_INTERVAL_NS)] == [("10.0.0.1", 8080)]
 
 
 # Pace.
 
 
 def test_hosts_and_stores_are_read_at_their_paces(plane):
-    plane.turn(HOST_EVERY)
-    assert plane.turn(STORE_EVERY - 1) == []
+    plane.turn(HOST_INTERVAL_NS)
+    assert plane.turn(STORE_INTERVAL_NS - 1) == []
     assert [address for address, _, _ in plane.turn(1)] == [("10.9.0.2", 8165)]
-    assert len(plane.turn(HOST_EVERY)) == 2
+    assert len(plane.turn(HOST_INTERVAL_NS)) == 2
 
 
 # Bad answers, one fault at a time.
@@ -310,14 +322,14 @@
     plane.answer(body.encode())
     assert plane.kept() == {f"{HOST} s1 aa": MANY, f"{HOST} s1 cc": MANY}
     assert plane.counters.counts["kept.unreadable"] == 1
-    assert set(plane.reader.holders[HOST].entries) == set(plane.kept())
+    assert set(plane.reader.sources[HOST].entries) == set(plane.kept())
 
 
 # Bounds.
 
 
 def test_a_holders_entries_are_bounded_and_the_oldest_go(plane, monkeypatch):
-    monkeypatch.setattr(kept_reader, "MOST_PER_HOLDER", 3)
+    monkeypatch.setattr(prefix_cache_reader, "MAX_ENTRIES_PER_SOURCE", 3)
     plane.answer(events(*[plus(number, f"p{number}") for number in range(1, 6)]))
     assert list(plane.kept()) == [f"{HOST} s1 p{number}" for number in (3, 4, 5)]
     plane.answer(events(plus(6, "p3"), plus(7, "p7")))  # told again, a part is among the newest
@@ -325,13 +337,13 @@
 
 
 def test_all_entries_together_are_bounded_and_leave_room_for_other_topics(monkeypatch):
-    monkeypatch.setattr(kept_reader, "MOST_ENTRIES", 20)
+    monkeypatch.setattr(prefix_cache_reader, "MAX_ENTRIES", 20)
     plane = Plane(max_entries=30)
     plane.hosts = {f"i-{number}": plane._host(f"i-{number}", "s-a", number) for number in range(1, 6)}
-    for address, _, done in plane.turn(HOST_EVERY):
+    for address, _, done in plane.turn(HOST_INTERVAL_NS):
         log = [plus(number, f"p{number}-{address[0]}") for number in range(1, 20)]
         done(Response(200, [], json.dumps(events(*log)).encode()))
     assert 0 < len(plane.kept()) <= 20
-    for holder in plane.reader.holders.values():
+    for holder in plane.reader.sources.values():
         assert plane.reader.index.since(holder.name) == 19  # nothing was given up half-way
     plane.journal.set(Topic.CONFIGURATION, "revision", b"2")
--- a/tests/test_controlplane_numbers.py
+++ b/tests/test_controlplane_numbers.py
@@ -11,7 +11,7 @@
 from hopsail.configuration.codes import ResultCode
 from hopsail.controlplane import configuration_state
 from hopsail.controlplane.commands import Command, Result
-from hopsail.controlplane.configuration_state import TAKEN_KEPT, ConfigurationState
+from hopsail.controlplane.configuration_state import MAX_DIGESTS, ConfigurationState
 from hopsail.controlplane.service_state import ServiceState
 from hopsail.replication.schedule import ROUGH
 from hopsail.replication.simulation import Network
@@ -58,7 +58,7 @@
 
 @pytest.mark.parametrize("way", [lambda state: state, through_a_snapshot], ids=["here", "snapshot"])
 def test_a_change_that_is_forgotten_is_neither_confirmed_nor_refused(monkeypatch, way):
-    monkeypatch.setattr(configuration_state, "TAKEN_KEPT", 10)
+    monkeypatch.setattr(configuration_state, "MAX_DIGESTS", 10)
     state = first()
     commands = chain(state, 50)
     state = way(state)
@@ -73,7 +73,7 @@
 
 
 def test_what_builds_on_a_revision_that_is_remembered_is_refused_for_sure(monkeypatch):
-    monkeypatch.setattr(configuration_state, "TAKEN_KEPT", 10)
+    monkeypatch.setattr(configuration_state, "MAX_DIGESTS", 10)
     state = first()
     commands = chain(state, 50)
     bases = [command.base for command in commands]
@@ -84,7 +84,7 @@
 
 def test_nothing_is_forgotten_before_the_bound():
     state = first()
-    commands = chain(state, TAKEN_KEPT - 1)
+    commands = chain(state, MAX_DIGESTS - 1)
     assert state.forgotten == 0
     assert state.apply(commands[0]).status == 200
     assert state.apply(put(0, configuration(5000))).status == 412
@@ -95,9 +95,9 @@
 def test_what_is_remembered_is_small_in_a_snapshot():
     state = first()
     bare = len(state.encode())
-    chain(state, TAKEN_KEPT + 50)
-    assert len(state.taken) == TAKEN_KEPT
-    assert len(state.encode()) - bare < 50 * TAKEN_KEPT
+    chain(state, MAX_DIGESTS + 50)
+    assert len(state.taken) == MAX_DIGESTS
+    assert len(state.encode()) - bare < 50 * MAX_DIGESTS
 
 
 @pytest.mark.parametrize(
@@ -156,10 +156,10 @@
     simulation.crash(wiped, wipe=True)
     simulation.start(wiped)
     simulation.run_until(lambda: not simulation.nodes[wiped].replica.recovering)
-    simulation.run_until(lambda: simulation.process(wiped).part.state.revision == operators.newest)
+    simulation.run_until(lambda: simulation.process(wiped).shard.state.revision == operators.newest)
     simulation.transfer(simulation.settled_leader())
     simulation.run_until(simulation.settled_leader)
-    assert simulation.process(wiped).part.state.taken.keys() >= {
+    assert simulation.process(wiped).shard.state.taken.keys() >= {
         configuration_state.digest_of(change.command) for change in changes
     }
     for change in changes:
--- a/tests/test_controlplane_operator.py
+++ b/tests/test_controlplane_operator.py
@@ -7,7 +7,7 @@
 from hopsail.configuration.codes import ResultCode
 from hopsail.controlplane.commands import CommandKind, Result
 from hopsail.controlplane.operator import OperatorCalls
-from hopsail.controlplane.parts import CONFIGURATION_PART, PARTS, part_of_service
+from hopsail.controlplane.shards import CONFIGURATION_SHARD, SHARD_COUNT, shard_of_service
 from hopsail.http.message import Request
 from hopsail.net.counters import Counters
 
@@ -31,8 +31,8 @@
     def __init__(self):
         self.submitted, self.waiting, self.reads = [], [], []
 
-    def submit(self, part, command, done):
-        self.submitted.append((part, command))
+    def submit(self, shard, command, done):
+        self.submitted.append((shard, command))
         self.waiting.append(done)
 
     def read_configuration(self, done):
@@ -120,8 +120,8 @@
 )
 def test_a_change_is_submitted_as_it_was_sent(caller, method, body, kind, text, base):
     exchange = caller.call(method, CONFIG, body, if_match=text)
-    ((part, command),) = caller.control.submitted
-    assert part == CONFIGURATION_PART
+    ((shard, command),) = caller.control.submitted
+    assert shard == CONFIGURATION_SHARD
     assert (command.kind, command.base, command.body) == (kind, base, body)
     assert exchange.answers == []
     caller.control.waiting[0](Result(200, value=7))
@@ -231,8 +231,8 @@
 
 def test_a_named_version_goes_to_the_part_of_the_models_service(caller):
     exchange = caller.call("POST", VERSION, NAMED)
-    ((part, command),) = caller.control.submitted
-    assert part == part_of_service("service-of-m-1")
+    ((shard, command),) = caller.control.submitted
+    assert shard == shard_of_service("service-of-m-1")
     assert (command.kind, command.subject, command.number) == (CommandKind.NAME_REVISION, "m-1", 2)
     caller.control.waiting[0](Result(200, value=2))
     assert exchange.answers == [(200, {"Revision": 2}, {"content-type": "application/json"})]
@@ -283,5 +283,5 @@
 
 
 def test_parts_of_services_never_are_the_configurations():
-    parts = {part_of_service(f"service-{number}") for number in range(200)}
-    assert parts == set(range(1, PARTS))
+    shards = {shard_of_service(f"service-{number}") for number in range(200)}
+    assert shards == set(range(1, SHARD_COUNT))
--- a/tests/test_controlplane_platform_list.py
+++ b/tests/test_controlplane_platform_list.py
@@ -2,7 +2,7 @@
 
 from types import SimpleNamespace
 
-from hopsail.controlplane.platform_list import FORGET_EVERY, PlatformList
+from hopsail.controlplane.platform_list import FORGET_INTERVAL_NS, PlatformList
 from hopsail.feed.journal import Change, Journal
 from hopsail.feed.topics import Topic
 from hopsail.hosts.instance import Address, Instance, Phase, encode
@@ -23,8 +23,8 @@
     def _at(self, when, act) -> None:
         self.look = act
 
-    def told(self, value: bytes | None, topic: Topic = Topic.INSTANCE, key: str = "i-1") -> None:
-        self.list.told(Change(topic, key, value))
+    def handle_change(self, value: bytes | None, topic: Topic = Topic.INSTANCE, key: str = "i-1") -> None:
+        self.list.handle_change(Change(topic, key, value))
 
     def fed(self) -> list[str]:
         return [change.key for change in self.journal.snapshot([Topic.INSTANCE])]
@@ -37,9 +37,9 @@
 
 def test_news_of_others_is_fed_on_and_never_goes_back():
     listing = Listing()
-    listing.told(instance(Phase.SERVING))
-    listing.told(instance(Phase.DRAINING))
-    listing.told(instance(Phase.SERVING))
+    listing.handle_change(instance(Phase.SERVING))
+    listing.handle_change(instance(Phase.DRAINING))
+    listing.handle_change(instance(Phase.SERVING))
     assert listing.fed() == ["i-1"]
     assert listing.list.view.get("i-1").phase is Phase.DRAINING
 
@@ -47,23 +47,23 @@
 def test_unreadable_news_is_passed_over():
     listing = Listing()
     for value in (b"", b"{", b"null", b"[]", b"\xff", instance(Phase.SERVING)[:-2]):
-        listing.told(value)
+        listing.handle_change(value)
     assert listing.fed() == []
 
 
 def test_a_process_that_never_reads_forgets_hosts_that_have_gone():
     listing = Listing()
-    listing.told(instance(Phase.REMOVED))
+    listing.handle_change(instance(Phase.REMOVED))
     assert listing.fed() == ["i-1"]
-    listing.now += TOMBSTONE_TTL_NS + FORGET_EVERY
-    listing.told(instance(Phase.SERVING, "i-2"), key="i-2")
+    listing.now += TOMBSTONE_TTL_NS + FORGET_INTERVAL_NS
+    listing.handle_change(instance(Phase.SERVING, "i-2"), key="i-2")
     listing.look()
     assert listing.fed() == ["i-2"]
 
 
 def test_readings_of_others_count_as_fresh_and_own_ones_do_not_come_back():
     listing = Listing()
-    listing.told(b"4", Topic.LISTING, "core-1")
+    listing.handle_change(b"4", Topic.LISTING, "core-1")
     assert listing.list.freshest is None
-    listing.told(b"4", Topic.LISTING, "core-2")
+    listing.handle_change(b"4", Topic.LISTING, "core-2")
     assert listing.list.freshest == listing.now
--- a/tests/test_controlplane_processes.py
+++ b/tests/test_controlplane_processes.py
@@ -14,7 +14,7 @@
 from hopsail.controlplane import voters as voters_module
 from hopsail.controlplane.commands import Command, CommandKind
 from hopsail.controlplane.messages import COMMAND, CommandCall, CommandReply
-from hopsail.controlplane.parts import part_of_service
+from hopsail.controlplane.shards import shard_of_service
 from hopsail.controlplane.plane import ControlPlane
 from hopsail.feed.topics import Topic
 from hopsail.http.client import HttpClient
@@ -128,10 +128,10 @@
             self.round()
         raise AssertionError("the condition is not reached")
 
-    def leader(self, part: int = 0) -> int | None:
-        """The process that leads a part with a lease."""
+    def leader(self, shard: int = 0) -> int | None:
+        """The process that leads a shard with a lease."""
         for number, plane in self.planes.items():
-            replica = plane.parts[part].replica
+            replica = plane.shards[shard].replica
             if number not in self.frozen and replica.is_leader and replica.lease_valid(plane.loop.now()):
                 return number
         return None
@@ -141,16 +141,16 @@
 
     # Clients.
 
-    def try_submit(self, number: int, command: Command, part: int = 0):
+    def try_submit(self, number: int, command: Command, shard: int = 0):
         told = []
-        self.planes[number].submit(part, command, told.append)
+        self.planes[number].submit(shard, command, told.append)
         self.until(lambda: told)
         return told[0]
 
-    def submit(self, number: int, command: Command, part: int = 0):
+    def submit(self, number: int, command: Command, shard: int = 0):
         """Sends a command again until something is known of it."""
         for _ in range(20):
-            result = self.try_submit(number, command, part)
+            result = self.try_submit(number, command, shard)
             if result is not None:
                 return result
         raise AssertionError("no clear answer")
@@ -212,7 +212,7 @@
     model = "m-1"
     named = Command(CommandKind.NAME_REVISION, 0, model, 4, "", b"")
     assert cluster.submit(1, put(0, 3)).status == 200
-    assert cluster.submit(2, named, part_of_service(model)).status == 200
+    assert cluster.submit(2, named, shard_of_service(model)).status == 200
     for number in (1, 2, 3):
         cluster.kill(number)
     for number in (1, 2, 3):
@@ -235,8 +235,8 @@
         for number in (1, 2, 3):
             cluster.start(number)
         assert [cluster.read(number) for number in (1, 2, 3)] == [revision] * 3
-        parts = cluster.planes[wiped].parts
-        cluster.until(lambda parts=parts: not any(part.replica.recovering for part in parts))
+        shards = cluster.planes[wiped].shards
+        cluster.until(lambda shards=shards: not any(shard.replica.recovering for shard in shards))
 
 
 def test_a_frozen_leader_reads_nothing_old_and_acknowledges_nothing_that_is_lost(make_cluster):
@@ -322,24 +322,24 @@
     cluster.start(4)
     identity = cluster.planes[4].identity
     cluster.until(
-        lambda: all(identity in part.replica.members.learners for part in cluster.planes[4].parts),
+        lambda: all(identity in shard.replica.members.learners for shard in cluster.planes[4].shards),
     )
     assert cluster.read(4) == 1
     assert cluster.submit(4, put(1, 2)).status == 200
     gone = cluster.planes[2].identity
     cluster.kill(2)
     cluster.until(
-        lambda: all(gone not in part.replica.members.electors for part in cluster.planes[4].parts),
+        lambda: all(gone not in shard.replica.members.electors for shard in cluster.planes[4].shards),
     )
-    for part in cluster.planes[4].parts:
-        assert identity in part.replica.members.voters
-        assert len(part.replica.members.voters) == 3
+    for shard in cluster.planes[4].shards:
+        assert identity in shard.replica.members.voters
+        assert len(shard.replica.members.voters) == 3
     assert cluster.submit(4, put(2, 3)).status == 200
 
 
 def all_parts_are_led(cluster: Cluster) -> bool:
-    parts = range(len(cluster.planes[1].parts))
-    return all(cluster.leader(part) is not None for part in parts)
+    shards = range(len(cluster.planes[1].shards))
+    return all(cluster.leader(shard) is not None for shard in shards)
 
 
 def test_a_leader_that_stops_in_order_names_its_successors(make_cluster):
@@ -350,7 +350,7 @@
     plane = cluster.planes[leader]
     plane.terminate()
     cluster.until(lambda: not plane.loop.running)
-    assert not any(part.leads for part in plane.parts)
+    assert not any(shard.leads for shard in plane.shards)
     cluster.kill(leader)
     assert all(cluster.read(number) == 1 for number in cluster.planes)
 
@@ -364,9 +364,9 @@
     coming, leaving = cluster.planes[4], cluster.planes[leader]
     leaving.terminate()
     cluster.until(lambda: not leaving.loop.running)
-    for part in coming.parts:
-        assert coming.identity in part.replica.members.voters
-        assert leaving.identity not in part.replica.members.electors
+    for shard in coming.shards:
+        assert coming.identity in shard.replica.members.voters
+        assert leaving.identity not in shard.replica.members.electors
     cluster.kill(leader, wipe=True)
     other = cluster.settled()
     cluster.kill(other, wipe=True)
@@ -378,7 +378,7 @@
     cluster = make_cluster()
     cluster.until(lambda: all_parts_are_led(cluster))
     plane = cluster.planes[1]
-    monkeypatch.setattr(plane.parts[0].replica, "may_leave", lambda now: False)
+    monkeypatch.setattr(plane.shards[0].replica, "may_leave", lambda now: False)
     began = plane.loop.now()
     plane.terminate()
     cluster.until(lambda: not plane.loop.running)
@@ -390,7 +390,7 @@
     cluster = make_cluster()
     cluster.until(lambda: all_parts_are_led(cluster))
     plane = cluster.planes[cluster.settled()]
-    replica = plane.parts[0].replica
+    replica = plane.shards[0].replica
     original, tried = replica.transfer, []
 
     def transfer(now, successor=None):
@@ -409,7 +409,7 @@
     cluster.settled()
     for number in (-1, 99):
         answers = []
-        call = CommandCall(part=number, command=put(0, 1).encode())
+        call = CommandCall(shard=number, command=put(0, 1).encode())
         channel = cluster.planes[1].channel(cluster.planes[2].identity)
         channel.call(COMMAND, call, CommandReply, lambda *answer, a=answers: a.append(answer), SECOND)
         cluster.until(lambda answers=answers: answers)
@@ -449,7 +449,7 @@
 
 def test_a_process_that_is_no_member_answers_all_the_same(make_cluster, monkeypatch):
     """More control processes than members: the others know no leader by themselves."""
-    monkeypatch.setattr(voters_module, "MOST_MEMBERS", 3)
+    monkeypatch.setattr(voters_module, "MAX_MEMBERS", 3)
     cluster = make_cluster()
     assert cluster.submit(1, put(0, 1)).status == 200
     cluster.start(4)
--- a/tests/test_controlplane_rollouts.py
+++ b/tests/test_controlplane_rollouts.py
@@ -7,7 +7,7 @@
 
 from hopsail.configuration.view import RouteTable
 from hopsail.controlplane.commands import Command, CommandKind
-from hopsail.controlplane.parts import PARTS, part_of_service
+from hopsail.controlplane.shards import SHARD_COUNT, shard_of_service
 from hopsail.controlplane.rollouts import Rollouts
 from hopsail.controlplane.service_state import ServiceState
 from hopsail.feed.journal import Journal
@@ -22,7 +22,7 @@
 STEP = 40 * MS
 
 
-class FakePart:
+class FakeShard:
     """Applies what is proposed at once, at an index of its own."""
 
     def __init__(self):
@@ -43,7 +43,7 @@
 class Plane:
     """A control process with one host of one service."""
 
-    def __init__(self, name: str = "core-1", part: FakePart | None = None):
+    def __init__(self, name: str = "core-1", shard: FakeShard | None = None):
         self.now, self.look, self.orders = 1_000_000_000, None, []
         self.targets_named = []
         self.loop = SimpleNamespace(now=lambda: self.now)
@@ -53,9 +53,9 @@
         )
         services = [{"Name": SERVICE, "Runtime": {"Models": [{"Name": MODEL}]}}]
         self.table = RouteTable({"Revision": 1, "Routes": [], "Services": services})
-        self.part = part or FakePart()
-        self.parts = [FakePart() for _ in range(PARTS)]
-        self.parts[part_of_service(SERVICE)] = self.part
+        self.shard = shard or FakeShard()
+        self.shards = [FakeShard() for _ in range(SHARD_COUNT)]
+        self.shards[shard_of_service(SERVICE)] = self.shard
         self.host = self.listed(1)
         view = SimpleNamespace(by_service=lambda service: [self.host], get=lambda identifier: self.host)
         self.platform = SimpleNamespace(view=view)
@@ -81,7 +81,7 @@
             done(None)
 
     def name(self, revision: int) -> None:
-        self.part.apply(Command(CommandKind.NAME_REVISION, 0, MODEL, revision, "", b""))
+        self.shard.apply(Command(CommandKind.NAME_REVISION, 0, MODEL, revision, "", b""))
         self.rollouts.wake()
 
     def run(self, duration: int) -> None:
@@ -99,9 +99,9 @@
     plane.name(2)
     plane.run(4000 * MS)
     _, order = plane.orders[0]
-    duty = plane.part.state.duties[SERVICE]
+    duty = plane.shard.state.roles[SERVICE]
     assert (order["OrderKind"], order["Model"], order["Revision"]) == ("Revision", MODEL, 2)
-    assert (order["Owner"], order["FenceToken"]) == (duty.owner, duty.fence)
+    assert (order["Owner"], order["FenceToken"]) == (duty.owner, duty.fencing_token)
 
 
 def test_each_report_goes_on_a_connection_of_its_own(plane):
@@ -132,7 +132,7 @@
     plane.host = plane.listed(2)
     plane.name(2)
     plane.run(4000 * MS)
-    assert (plane.orders, plane.part.state.duties) == ([], {})
+    assert (plane.orders, plane.shard.state.roles) == ([], {})
 
 
 def test_the_duty_is_released_when_all_is_done(plane):
@@ -140,19 +140,19 @@
     plane.run(1000 * MS)
     plane.host = plane.listed(2)
     plane.run(1000 * MS)
-    assert plane.part.state.duties[SERVICE].released
+    assert plane.shard.state.roles[SERVICE].released
     assert plane.rollouts.running == {}
 
 
 def test_a_process_that_does_not_lead_orders_nothing(plane):
-    plane.part.leads = False
+    plane.shard.leads = False
     plane.name(2)
     plane.run(4000 * MS)
     assert plane.orders == []
 
 
 def test_a_holder_after_another_waits_for_the_lease(plane):
-    plane.part.apply(Command(CommandKind.ACQUIRE_DUTY, 0, SERVICE, 0, "core-9", b""))
+    plane.shard.apply(Command(CommandKind.ACQUIRE_ROLE, 0, SERVICE, 0, "core-9", b""))
     plane.name(2)
     began = plane.now
     plane.run(8000 * MS)
@@ -163,8 +163,8 @@
     """The leadership is lost and won again between two looks, and another process held the duty meanwhile."""
     plane.name(2)
     plane.run(200 * MS)
-    old = plane.part.state.duties[SERVICE].fence
-    plane.part.apply(Command(CommandKind.ACQUIRE_DUTY, 0, SERVICE, 0, "core-9", b""))
+    old = plane.shard.state.roles[SERVICE].fencing_token
+    plane.shard.apply(Command(CommandKind.ACQUIRE_ROLE, 0, SERVICE, 0, "core-9", b""))
     plane.orders.clear()
     plane.name(3)
     passed = plane.now
@@ -206,7 +206,7 @@
 def test_a_lost_fence_is_lost_for_all_models_of_its_service():
     plane = TwoModels()
     for model in plane.MODELS:
-        plane.part.apply(Command(CommandKind.NAME_REVISION, 0, model, 2, "", b""))
+        plane.shard.apply(Command(CommandKind.NAME_REVISION, 0, model, 2, "", b""))
         plane.rollouts.wake()
         plane.run(2 * STEP)
     plane.run(20_000 * MS)
--- a/tests/test_controlplane_state.py
+++ b/tests/test_controlplane_state.py
@@ -9,9 +9,9 @@
 
 from hopsail.configuration.codes import ResultCode
 from hopsail.controlplane.commands import Command, CommandKind, Result, decode_command, decode_result
-from hopsail.controlplane.configuration_state import TAKEN_KEPT, ConfigurationState
-from hopsail.controlplane.part import FAULTY, Part
-from hopsail.controlplane.service_state import Duty, ServiceState
+from hopsail.controlplane.configuration_state import MAX_DIGESTS, ConfigurationState
+from hopsail.controlplane.shard import UNREADABLE_COMMAND, Shard
+from hopsail.controlplane.service_state import SingletonRole, ServiceState
 from hopsail.replication.messages import Entry, EntryKind
 from hopsail.replication.state import Members, Ready, Snapshot
 
@@ -54,11 +54,11 @@
 
 
 def acquire(service: str, owner: str) -> Command:
-    return Command(CommandKind.ACQUIRE_DUTY, 0, service, 0, owner, b"")
+    return Command(CommandKind.ACQUIRE_ROLE, 0, service, 0, owner, b"")
 
 
 def release(service: str, fence: int, owner: str) -> Command:
-    return Command(CommandKind.RELEASE_DUTY, 0, service, fence, owner, b"")
+    return Command(CommandKind.RELEASE_ROLE, 0, service, fence, owner, b"")
 
 
 @pytest.fixture
@@ -173,9 +173,9 @@
 def test_changes_remembered_are_bounded():
     state = ConfigurationState()
     empty = {"Routes": [], "Services": []}
-    for revision in range(1, TAKEN_KEPT + 10):
+    for revision in range(1, MAX_DIGESTS + 10):
         assert state.apply(put(revision - 1, {"Revision": revision, **empty})).status == 200
-    assert len(state.taken) == TAKEN_KEPT
+    assert len(state.taken) == MAX_DIGESTS
 
 
 # Configuration: what is invalid, one fault at a time.
@@ -381,7 +381,7 @@
         state.apply(index, acquire("s", owner)).value for index, owner in [(4, "x"), (7, "y"), (9, "y")]
     ]
     assert fences == [4, 7, 9]
-    assert state.duties["s"] == Duty(9, "y", False, 4, "x")  # the last holder that was another one
+    assert state.roles["s"] == SingletonRole(9, "y", False, 4, "x")  # the last holder that was another one
 
 
 def test_only_the_holders_fence_releases_a_duty():
@@ -389,17 +389,17 @@
     state.apply(4, acquire("s", "x"))
     state.apply(5, acquire("s", "y"))
     assert state.apply(6, release("s", 4, "x")).status == 200
-    assert not state.duties["s"].released
+    assert not state.roles["s"].released
     state.apply(7, release("s", 5, "y"))
-    assert state.duties["s"].released
+    assert state.roles["s"].released
     state.apply(8, acquire("s", "y"))
-    assert state.duties["s"] == Duty(8, "y", False, 4, "x")
+    assert state.roles["s"] == SingletonRole(8, "y", False, 4, "x")
 
 
 def test_a_release_of_an_unknown_duty_does_nothing():
     state = ServiceState()
     assert state.apply(1, release("s", 0, "x")).status == 200
-    assert state.duties == {}
+    assert state.roles == {}
 
 
 @pytest.mark.parametrize("seed", range(12))
@@ -422,8 +422,8 @@
             restored = ServiceState.decode(restored.encode())
         assert plain.encode() == restored.encode()
         assert all(plain.revisions[model] >= revision for model, revision in before.items())
-        if command.kind is CommandKind.ACQUIRE_DUTY:
-            fences.setdefault(service, []).append(plain.duties[service].fence)
+        if command.kind is CommandKind.ACQUIRE_ROLE:
+            fences.setdefault(service, []).append(plain.roles[service].fencing_token)
     for taken in fences.values():
         assert taken == sorted(set(taken))
 
@@ -447,10 +447,10 @@
         return self.readies.pop(0) if self.readies else None
 
 
-def part_with(replica, state=None, apply=None, applied=lambda part: None) -> Part:
+def part_with(replica, state=None, apply=None, applied=lambda shard: None) -> Shard:
     apply = apply or (lambda state, index, command: state.apply(command))
     state = state or ConfigurationState()
-    return Part(
+    return Shard(
         0,
         replica,
         state,
@@ -470,10 +470,10 @@
 @pytest.mark.parametrize("data", MUTATIONS.values(), ids=MUTATIONS)
 def test_an_unreadable_entry_is_dropped_and_the_rest_applied(data):
     replica = ScriptedReplica()
-    part = part_with(replica)
+    shard = part_with(replica)
     replica.readies = [Ready(committed=[entry(1, data), entry(2, put(0, configuration(1)))])]
-    part.pump()
-    assert (part.dropped_entries, part.state.revision) == (1, 1)
+    shard.pump()
+    assert (shard.dropped_entries, shard.state.revision) == (1, 1)
 
 
 def test_an_entry_that_cannot_be_carried_out_is_dropped_and_the_rest_applied():
@@ -483,13 +483,13 @@
         return state.apply(command)
 
     replica, told = ScriptedReplica(), []
-    part = part_with(replica, apply=apply)
-    part.propose(0, put(0, configuration(1)), told.append)
+    shard = part_with(replica, apply=apply)
+    shard.propose(0, put(0, configuration(1)), told.append)
     replica.readies = [
         Ready(committed=[entry(1, put(0, configuration(1))), entry(2, put(0, configuration(3)))])
     ]
-    part.pump()
-    assert (part.state.revision, told) == (3, [FAULTY])
+    shard.pump()
+    assert (shard.state.revision, told) == (3, [UNREADABLE_COMMAND])
 
 
 def test_a_caller_that_fails_keeps_no_other_entry_from_being_applied():
@@ -497,62 +497,62 @@
         raise RuntimeError
 
     replica, told, applied = ScriptedReplica(), [], []
-    part = part_with(replica, applied=applied.append)
+    shard = part_with(replica, applied=applied.append)
     first, second = put(0, configuration(1)), put(1, configuration(3))
-    part.propose(0, first, fails)
-    part.propose(0, second, told.append)
+    shard.propose(0, first, fails)
+    shard.propose(0, second, told.append)
     replica.readies = [Ready(committed=[entry(1, first), entry(2, second)])]
-    part.pump()
-    assert (part.state.revision, [result.status for result in told], applied) == (3, [200], [part])
+    shard.pump()
+    assert (shard.state.revision, [result.status for result in told], applied) == (3, [200], [shard])
 
 
 def test_a_subscriber_that_fails_does_not_stop_the_pump():
-    def fails(part):
+    def fails(shard):
         raise RuntimeError
 
     replica = ScriptedReplica()
-    part = part_with(replica, applied=fails)
+    shard = part_with(replica, applied=fails)
     replica.readies = [Ready(committed=[entry(1, put(0, configuration(1)))])]
-    part.pump()
-    assert part.state.revision == 1
+    shard.pump()
+    assert shard.state.revision == 1
 
 
 def test_those_who_wait_are_told_nothing_once_when_the_leadership_is_lost():
     replica, told = ScriptedReplica(), []
-    part = part_with(replica)
+    shard = part_with(replica)
     change = put(0, configuration(1))
-    part.propose(0, change, told.append)
+    shard.propose(0, change, told.append)
     replica.is_leader = False
-    part.pump()
+    shard.pump()
     replica.readies = [Ready(committed=[entry(1, change)])]
-    part.pump()
-    assert (told, part.state.revision) == ([None], 1)
+    shard.pump()
+    assert (told, shard.state.revision) == ([None], 1)
 
 
 def test_an_entry_of_another_term_at_the_index_answers_nothing():
     replica, told = ScriptedReplica(), []
-    part = part_with(replica)
-    part.propose(0, put(0, configuration(1)), told.append)
+    shard = part_with(replica)
+    shard.propose(0, put(0, configuration(1)), told.append)
     replica.readies = [Ready(committed=[entry(1, put(0, configuration(9)), term=2)])]
-    part.pump()
-    assert (told, part.state.revision) == ([None], 9)
+    shard.pump()
+    assert (told, shard.state.revision) == ([None], 9)
 
 
 def test_a_snapshot_replaces_the_state_and_is_published():
     source = ConfigurationState()
     source.apply(put(0, configuration(6)))
     replica, applied = ScriptedReplica(), []
-    part = part_with(replica, applied=applied.append)
+    shard = part_with(replica, applied=applied.append)
     replica.readies = [Ready(installed=Snapshot(9, 1, Members(), source.encode()))]
-    part.pump()
-    assert (part.state.configuration, len(applied)) == (configuration(6), 1)
+    shard.pump()
+    assert (shard.state.configuration, len(applied)) == (configuration(6), 1)
 
 
 def test_proposals_that_wait_are_bounded(monkeypatch):
-    monkeypatch.setattr("hopsail.controlplane.part.MOST_PENDING", 3)
+    monkeypatch.setattr("hopsail.controlplane.shard.MAX_PENDING_PROPOSALS", 3)
     replica = ScriptedReplica()
-    part = part_with(replica)
-    accepted = [part.propose(0, put(0, configuration(1)), lambda result: None) for _ in range(5)]
+    shard = part_with(replica)
+    accepted = [shard.propose(0, put(0, configuration(1)), lambda result: None) for _ in range(5)]
     assert accepted == [True, True, True, False, False]
     assert len(replica.proposed) == 3
 
@@ -563,7 +563,7 @@
 
     replica = ScriptedReplica()
     replica.snapshot_due, replica.compact = True, refuses
-    part = part_with(replica)
+    shard = part_with(replica)
     replica.readies = [Ready(committed=[entry(1, put(0, configuration(1)))])]
-    part.compact()
-    assert part.state.revision == 1
+    shard.compact()
+    assert shard.state.revision == 1
--- a/tests/test_controlplane_steps.py
+++ b/tests/test_controlplane_steps.py
@@ -21,8 +21,8 @@
 from hopsail.configuration.checker import STEP_ITEMS
 from hopsail.configuration.indexed import ConfigurationIndex
 from hopsail.controlplane import decisions
-from hopsail.controlplane.configuration_state import LARGE_BYTES, ConfigurationState
-from hopsail.controlplane.part import FAULTY, Part
+from hopsail.controlplane.configuration_state import MIN_LARGE_BODY_BYTES, ConfigurationState
+from hopsail.controlplane.shard import UNREADABLE_COMMAND, Shard
 from hopsail.replication import log
 from hopsail.replication.messages import AppendEntriesReply
 from hopsail.replication.replica import STILL_HEARD
@@ -63,7 +63,7 @@
     command = put(1, large(2))
     pauses, (result, _) = steps_of(state, command)
     assert result.status == 200
-    assert len(command.body) > LARGE_BYTES
+    assert len(command.body) > MIN_LARGE_BODY_BYTES
     assert pauses >= 3 * TENANTS // STEP_ITEMS  # types, names, keys
     assert steps_of(state, command)[0] == 0  # what was found is kept
     assert state.apply(command).status == 200
@@ -133,20 +133,20 @@
 
 
 class Driven:
-    """A part whose steps are taken one by one."""
+    """A shard whose steps are taken one by one."""
 
     def __init__(self, prepare=ConfigurationState.judging, apply=None, decoding=None):
         self.replica = ScriptedReplica()
         self.sent, self.applied, self.turns = [], [], deque()
-        self.part = Part(
+        self.shard = Shard(
             0,
             self.replica,
             ConfigurationState(),
             decoding or in_one_step(ConfigurationState.decode),
             apply or (lambda state, index, command: state.apply(command)),
             lambda *_: None,
-            lambda part, peer, message: self.sent.append(message),
-            lambda part: self.applied.append(part.state.revision),
+            lambda shard, peer, message: self.sent.append(message),
+            lambda shard: self.applied.append(shard.state.revision),
             prepare,
             self.turns.append,
         )
@@ -154,11 +154,11 @@
     def commit(self, *entries, **more) -> None:
         self.replica.readies.append(Ready(committed=list(entries), **more))
         self.replica.applied_index = max([one.index for one in entries], default=self.replica.applied_index)
-        self.part.pump()
+        self.shard.pump()
 
     def pump(self, times: int) -> None:
         for _ in range(times):
-            self.part.pump()
+            self.shard.pump()
 
     def step(self) -> None:
         self.turns.popleft()()
@@ -170,9 +170,9 @@
 
 def test_a_large_entry_is_applied_in_steps_between_which_messages_leave():
     driven, told = Driven(), []
-    driven.part.propose(0, put(0, large(1)), told.append)
+    driven.shard.propose(0, put(0, large(1)), told.append)
     driven.commit(entry(1, put(0, large(1))))
-    assert (driven.part.state.revision, told, driven.part.applied_index) == (0, [], 0)
+    assert (driven.shard.state.revision, told, driven.shard.applied_index) == (0, [], 0)
     steps = 0
     while driven.turns:
         heartbeat = AppendEntriesReply(1, True, 1, 0, steps, 0, 1, False)
@@ -183,21 +183,21 @@
         steps += 1
     assert steps > 3 * TENANTS // STEP_ITEMS
     assert ([result.status for result in told], driven.applied) == ([200], [1])
-    assert (driven.part.state.configuration, driven.part.applied_index) == (large(1), 1)
+    assert (driven.shard.state.configuration, driven.shard.applied_index) == (large(1), 1)
 
 
 def test_entries_after_one_that_is_prepared_wait_and_keep_their_order():
     driven, told = Driven(), []
     commands = [put(0, large(1)), put(1, configuration(3)), put(1, configuration(2)), put(3, large(6))]
     for command in commands:
-        driven.part.propose(0, command, lambda result: told.append((result.status, result.value)))
+        driven.shard.propose(0, command, lambda result: told.append((result.status, result.value)))
     driven.commit(entry(1, commands[0]), entry(2, commands[1]))
     driven.step()
     driven.commit(entry(3, commands[2]), entry(4, commands[3]))
-    assert (told, driven.part.applied_index) == ([], 0)
+    assert (told, driven.shard.applied_index) == ([], 0)
     driven.finish()
     assert told == [(200, 1), (200, 3), (412, 3), (200, 6)]
-    assert (driven.part.state.configuration, driven.part.applied_index) == (large(6), 4)
+    assert (driven.shard.state.configuration, driven.shard.applied_index) == (large(6), 4)
 
 
 def test_prepared_or_not_every_replica_gets_the_same_state():
@@ -212,15 +212,15 @@
     prepared.finish()
     plain.commit(*entries)
     assert not plain.turns
-    assert prepared.part.state.encode() == plain.part.state.encode()
+    assert prepared.shard.state.encode() == plain.shard.state.encode()
 
 
 def test_a_state_lacks_what_is_committed_until_it_is_prepared():
     driven = Driven()
     driven.commit(entry(1, put(0, configuration(1))), entry(2, put(1, large(2))))
-    assert not driven.part.has_applied_all and driven.part.state.revision == 1
+    assert not driven.shard.has_applied_all and driven.shard.state.revision == 1
     driven.finish()
-    assert driven.part.has_applied_all and driven.part.state.revision == 2
+    assert driven.shard.has_applied_all and driven.shard.state.revision == 2
 
 
 def check_snapshot_waits(driven, index):
@@ -228,11 +228,11 @@
     taken = []
     driven.replica.compact = lambda index, data: taken.append(index)
     driven.replica.snapshot_due = True
-    driven.part.compact()
+    driven.shard.compact()
     driven.pump(50)
     assert taken == []
     driven.finish()
-    driven.part.compact()
+    driven.shard.compact()
     driven.replica.snapshot_due = False
     driven.pump(50)
     assert taken == [index]
@@ -251,8 +251,8 @@
     driven.step()
     driven.commit(installed=Snapshot(7, 1, Members(), source.encode()))
     driven.finish()
-    assert driven.part.state.configuration == configuration(9)
-    assert (driven.part.applied_index, driven.applied) == (driven.replica.applied_index, [9])
+    assert driven.shard.state.configuration == configuration(9)
+    assert (driven.shard.applied_index, driven.applied) == (driven.replica.applied_index, [9])
 
 
 def test_a_fault_while_preparing_is_met_again_by_apply_and_keeps_no_other_entry():
@@ -266,10 +266,10 @@
         return state.apply(command)
 
     driven, told = Driven(prepare, apply), []
-    driven.part.propose(0, put(0, configuration(1)), told.append)
+    driven.shard.propose(0, put(0, configuration(1)), told.append)
     driven.commit(entry(1, put(0, configuration(1))), entry(2, put(0, configuration(3))))
     driven.finish()
-    assert (told, driven.part.state.revision) == ([FAULTY], 3)
+    assert (told, driven.shard.state.revision) == ([UNREADABLE_COMMAND], 3)
 
 
 # Installing.
@@ -287,7 +287,7 @@
 
 
 def installing() -> Driven:
-    """A part with revision 1 at index 1, that has begun to install revision 5 at index 7."""
+    """A shard with revision 1 at index 1, that has begun to install revision 5 at index 7."""
     driven = Driven(decoding=ConfigurationState.decoding)
     driven.commit(entry(1, put(0, configuration(1))))
     driven.replica.applied_index = 7
@@ -307,30 +307,30 @@
         heartbeat = AppendEntriesReply(1, True, 1, 0, steps, 0, 1, False)
         driven.commit(messages=[("peer", heartbeat)])
         assert driven.sent[-1] is heartbeat and len(driven.turns) == 1
-        assert (driven.part.state.configuration, driven.applied) == (configuration(1), [1])
-        assert not driven.part.has_applied_all and driven.part.applied_index == 0
+        assert (driven.shard.state.configuration, driven.applied) == (configuration(1), [1])
+        assert not driven.shard.has_applied_all and driven.shard.applied_index == 0
         driven.step()
         steps += 1
     assert steps >= 2 * TENANTS // STEP_ITEMS - 1  # its text, its indexes
-    assert driven.part.has_applied_all and driven.part.applied_index == 7
-    assert (driven.part.state.configuration, driven.applied) == (large(5), [1, 5])
+    assert driven.shard.has_applied_all and driven.shard.applied_index == 7
+    assert (driven.shard.state.configuration, driven.applied) == (large(5), [1, 5])
 
 
 def test_a_small_snapshot_is_installed_at_once():
     driven = Driven(decoding=ConfigurationState.decoding)
     driven.replica.applied_index = 7
     driven.commit(installed=snapshot_of(7, state_of(put(0, configuration(4)))))
-    assert not driven.turns and driven.part.has_applied_all
-    assert (driven.part.state.configuration, driven.part.applied_index) == (configuration(4), 7)
+    assert not driven.turns and driven.shard.has_applied_all
+    assert (driven.shard.state.configuration, driven.shard.applied_index) == (configuration(4), 7)
 
 
 def test_entries_after_a_snapshot_wait_until_it_is_installed():
     driven = installing()
     driven.commit(entry(8, put(5, configuration(6))), entry(9, put(1, configuration(2))))
     driven.pump(5)
-    assert (driven.part.state.revision, driven.part.applied_index) == (1, 0)
+    assert (driven.shard.state.revision, driven.shard.applied_index) == (1, 0)
     driven.finish()
-    assert (driven.part.state.configuration, driven.part.applied_index) == (configuration(6), 9)
+    assert (driven.shard.state.configuration, driven.shard.applied_index) == (configuration(6), 9)
 
 
 @pytest.mark.parametrize("steps", range(7))
@@ -338,13 +338,13 @@
     driven = installing()
     for _ in range(steps):
         driven.step()
-        assert driven.part.state.revision == 1
+        assert driven.shard.state.revision == 1
     driven.commit(entry(8, put(5, configuration(6))))
     driven.replica.applied_index = 20
     driven.commit(installed=snapshot_of(20, state_of(put(0, large(9)))))
     driven.finish()
-    assert driven.part.has_applied_all and driven.part.applied_index == 20
-    assert (driven.part.state.configuration, driven.applied) == (large(9), [1, 9])
+    assert driven.shard.has_applied_all and driven.shard.applied_index == 20
+    assert (driven.shard.state.configuration, driven.applied) == (large(9), [1, 9])
 
 
 def test_no_snapshot_is_taken_while_one_is_installed():
@@ -359,12 +359,12 @@
     driven.commit(installed=Snapshot(7, 1, Members(), state_of(put(0, large(5))).encode()[:-1]))
     driven.commit(entry(8, put(1, configuration(2))))
     driven.finish()
-    assert not driven.part.has_applied_all and driven.part.applied_index == 0
-    assert (driven.part.state.revision, driven.applied) == (1, [1])
+    assert not driven.shard.has_applied_all and driven.shard.applied_index == 0
+    assert (driven.shard.state.revision, driven.applied) == (1, [1])
     driven.replica.applied_index = 9
     driven.commit(installed=snapshot_of(9, state_of(put(0, configuration(8)))))
     driven.finish()
-    assert (driven.part.state.revision, driven.part.applied_index) == (8, 9)
+    assert (driven.shard.state.revision, driven.shard.applied_index) == (8, 9)
 
 
 def taken(simulation, operators, content: dict, is_patch: bool) -> None:
@@ -392,7 +392,7 @@
         for revision in range(501, 508):
             taken(simulation, operators, {"Revision": revision}, is_patch=True)
         simulation.start(wiped)
-        simulation.run_until(lambda: simulation.process(wiped).part._is_installing)
+        simulation.run_until(lambda: simulation.process(wiped).shard._is_installing)
         return simulation, operators, wiped
 
     return start
@@ -400,17 +400,17 @@
 
 def test_a_member_that_installs_votes_leads_and_tells_nothing_old(monkeypatch, behind_a_large_state):
     """It takes the lead while it decodes: reads and changes wait for the whole state."""
-    monkeypatch.setattr(decisions, "STEP_PAUSE_MS", 150)
+    monkeypatch.setattr(decisions, "STEP_INTERVAL_MS", 150)
     for seed in range(5):
         simulation, operators, wiped = behind_a_large_state(seed)
         simulation.run_until(lambda name=wiped, s=simulation: not s.nodes[name].replica.recovering)
-        assert simulation.process(wiped).part._is_installing
+        assert simulation.process(wiped).shard._is_installing
         simulation.transfer(simulation.settled_leader())
         simulation.run_until(simulation.settled_leader)
         answers = [operators.read(name) for name in simulation.nodes]
         changes = [operators.change() for _ in range(3)]
         simulation.run(300 * MILLISECOND)
-        assert simulation.process(wiped).part._is_installing
+        assert simulation.process(wiped).shard._is_installing
         operators.check_end()
         assert all(answers) and sum(change.result.status == 200 for change in changes) == 1
 
@@ -427,9 +427,9 @@
     seen = set()
 
     def has_caught_up() -> bool:
-        part = simulation.process(wiped).part
-        seen.add(part.state.revision)
-        return part.has_applied_all and part.state.revision == operators.newest
+        shard = simulation.process(wiped).shard
+        seen.add(shard.state.revision)
+        return shard.has_applied_all and shard.state.revision == operators.newest
 
     simulation.run_until(has_caught_up)
     assert all(not revision or revision >= 500 for revision in seen)
--- a/tests/test_controlplane_stopping.py
+++ b/tests/test_controlplane_stopping.py
@@ -15,10 +15,10 @@
 from hopsail.controlplane.stopping import (
     ANSWERS_MARGIN_MS,
     CLOSE_MARGIN_MS,
-    HELD_MARGIN_MS,
+    REPLICATION_MARGIN_MS,
     LAST_CALLS_MARGIN_MS,
-    LEAST_MS,
-    STEP_MS,
+    MIN_DURATION_MS,
+    STEP_INTERVAL_MS,
     Ending,
 )
 from hopsail.feed.messages import POLL, PollReply, PollRequest
@@ -36,7 +36,7 @@
 
 
 class StandInPart:
-    """A part whose leader the test names."""
+    """A shard whose leader the test names."""
 
     def __init__(self, leader=OTHER, voters=(ME, OTHER, THIRD)):
         self.replica = SimpleNamespace(
@@ -96,12 +96,14 @@
 class Stage:
     """An end with all that it looks at."""
 
-    def __init__(self, *parts, grace_ms=GRACE_MS):
+    def __init__(self, *shards, grace_ms=GRACE_MS):
         self.loop, self.door, self.rpc = Clock(), StandInDoor(), StandInRpc()
-        self.parts = parts or (StandInPart(),)
+        self.shards = shards or (StandInPart(),)
         self.releases, self.finished = 0, False
         publisher = SimpleNamespace(stop_parking=self.release)
-        self.ending = Ending(self.loop, ME, self.parts, self.door, self.rpc, publisher, grace_ms, self.finish)
+        self.ending = Ending(
+            self.loop, ME, self.shards, self.door, self.rpc, publisher, grace_ms, self.finish
+        )
         self.told_at = self.loop.now()
         self.ending.step()
 
@@ -123,34 +125,34 @@
         """Whether it is still there shortly before it would be killed, and ends then."""
         self.until(GRACE_MS - CLOSE_MARGIN_MS - 1)
         assert not self.finished
-        self.until(GRACE_MS - CLOSE_MARGIN_MS + STEP_MS)
+        self.until(GRACE_MS - CLOSE_MARGIN_MS + STEP_INTERVAL_MS)
         return self.finished
 
 
-SOON = LEAST_MS + 5 * STEP_MS
+SOON = MIN_DURATION_MS + 5 * STEP_INTERVAL_MS
 
 
 def test_a_process_that_leads_nothing_ends_soon():
-    stage = Stage().until(LEAST_MS - 1)
+    stage = Stage().until(MIN_DURATION_MS - 1)
     assert stage.door.draining and not stage.door.is_shut and not stage.finished
     stage.until(SOON)
     assert stage.finished and stage.releases == 1
 
 
 def test_it_ends_once_it_has_heard_of_a_successor():
-    part = StandInPart(leader=ME)
-    part.successor = OTHER
-    stage = Stage(StandInPart(), part).until(3000)
-    assert not part.leads and part.pumps and not stage.finished
-    part.replica.leader = OTHER
-    stage.until(3000 + 3 * STEP_MS)
+    shard = StandInPart(leader=ME)
+    shard.successor = OTHER
+    stage = Stage(StandInPart(), shard).until(3000)
+    assert not shard.leads and shard.pumps and not stage.finished
+    shard.replica.leader = OTHER
+    stage.until(3000 + 3 * STEP_INTERVAL_MS)
     assert stage.finished
 
 
 def test_it_stays_while_it_leads_as_long_as_it_may():
-    part = StandInPart(leader=ME)
-    stage = Stage(part)
-    assert stage.stays() and len(part.transfers) > 100
+    shard = StandInPart(leader=ME)
+    stage = Stage(shard)
+    assert stage.stays() and len(shard.transfers) > 100
 
 
 def test_it_stays_while_it_is_needed_for_a_majority():
@@ -158,17 +160,17 @@
     needed.needed = True
     stage = Stage(free, needed)
     assert free.left_at == needed.left_at == stage.told_at
-    assert not stage.until(GRACE_MS - HELD_MARGIN_MS - 1).finished
+    assert not stage.until(GRACE_MS - REPLICATION_MARGIN_MS - 1).finished
     needed.needed = False
-    assert stage.until(GRACE_MS - HELD_MARGIN_MS - 1 + 3 * STEP_MS).finished
+    assert stage.until(GRACE_MS - REPLICATION_MARGIN_MS - 1 + 3 * STEP_INTERVAL_MS).finished
 
 
 def test_what_only_it_holds_is_not_waited_for_until_it_is_killed():
-    part = StandInPart()
-    part.needed = True
-    stage = Stage(part).until(GRACE_MS - HELD_MARGIN_MS - 1)
+    shard = StandInPart()
+    shard.needed = True
+    stage = Stage(shard).until(GRACE_MS - REPLICATION_MARGIN_MS - 1)
     assert not stage.finished
-    assert stage.until(GRACE_MS - HELD_MARGIN_MS + 4 * STEP_MS).finished
+    assert stage.until(GRACE_MS - REPLICATION_MARGIN_MS + 4 * STEP_INTERVAL_MS).finished
 
 
 def test_it_stays_while_nobody_leads_as_long_as_it_may():
@@ -177,11 +179,11 @@
 
 def test_it_stays_without_a_leader_while_the_others_may_need_its_vote():
     """A change that takes its vote away is under way: until it is committed the old voters elect too."""
-    part = StandInPart(leader=None, voters=(OTHER, THIRD))
-    part.replica.is_voter = True
-    stage = Stage(part).until(GRACE_MS // 2)
+    shard = StandInPart(leader=None, voters=(OTHER, THIRD))
+    shard.replica.is_voter = True
+    stage = Stage(shard).until(GRACE_MS // 2)
     assert not stage.finished
-    part.replica.is_voter = False
+    shard.replica.is_voter = False
     assert stage.until(GRACE_MS // 2 + SOON).finished
 
 
@@ -222,18 +224,18 @@
 
 
 def test_a_new_leader_that_fails_at_once_is_waited_for_again():
-    part = StandInPart()
-    stage = Stage(part)
+    shard = StandInPart()
+    stage = Stage(shard)
     stage.door.connections = ["one"]
     stage.until(SOON)
     assert stage.door.is_shut
-    part.replica.leader, stage.door.connections = None, []
+    shard.replica.leader, stage.door.connections = None, []
     stage.until(3000)
     assert not stage.finished
-    part.replica.leader = ME  # it was elected again
+    shard.replica.leader = ME  # it was elected again
     stage.until(3100)
-    assert part.transfers and not stage.finished
-    part.replica.leader = THIRD
+    assert shard.transfers and not stage.finished
+    shard.replica.leader = THIRD
     stage.until(3200)
     assert stage.finished
 
@@ -253,7 +255,7 @@
     stage.door.busy, stage.door.connections = 1, ["one"]
     stage.until(GRACE_MS - ANSWERS_MARGIN_MS - 1)
     assert not stage.door.is_shut
-    stage.until(GRACE_MS - ANSWERS_MARGIN_MS + STEP_MS)
+    stage.until(GRACE_MS - ANSWERS_MARGIN_MS + STEP_INTERVAL_MS)
     assert stage.door.is_shut and stage.stays()
 
 
@@ -321,7 +323,7 @@
     leader = cluster.settled()
     other = leader % 3 + 1
     told = []
-    call = CommandCall(part=0, command=put(0, 4).encode())
+    call = CommandCall(shard=0, command=put(0, 4).encode())
     channel = cluster.planes[other].channel(cluster.planes[leader].identity)
     channel.call(COMMAND, call, CommandReply, lambda *answer: told.append(answer), 3 * SECOND)
     plane = stops(cluster, leader)
--- a/tests/test_controlplane_voters.py
+++ b/tests/test_controlplane_voters.py
@@ -5,7 +5,7 @@
 import pytest
 from voters_simulation import SECOND, SYNC_S, Fleet, NamedVoters
 
-from hopsail.controlplane.voters import DEAD_TIME_LEAST, MOST_MEMBERS, Voters
+from hopsail.controlplane.voters import MIN_DEAD_TIME_NS, MAX_MEMBERS, Voters
 from hopsail.net.counters import Counters
 from hopsail.replication.state import MILLISECOND, Members
 
@@ -27,7 +27,7 @@
     for sync_s in (0.5, 1, 4, 12):
         settings = SimpleNamespace(machine_losses=1, bounds=SimpleNamespace(sync_s=sync_s))
         times[sync_s] = Voters(SimpleNamespace(settings=settings)).dead_time
-    assert times == {0.5: DEAD_TIME_LEAST, 1: DEAD_TIME_LEAST, 4: 4 * SECOND // 3, 12: 4 * SECOND}
+    assert times == {0.5: MIN_DEAD_TIME_NS, 1: MIN_DEAD_TIME_NS, 4: 4 * SECOND // 3, 12: 4 * SECOND}
 
 
 def test_nothing_changes_while_all_is_well():
@@ -209,11 +209,11 @@
     fleet.planes[leader].counters.add = lambda name: replaced.append(name)
     fleet.simulation.freeze(leader, 3 * DEAD_TIME)
     fleet.simulation.run(2 * DEAD_TIME)
-    for part in fleet.planes[leader].parts:
-        assert part.leads  # as it believes until it looks at the clock
+    for shard in fleet.planes[leader].shards:
+        assert shard.leads  # as it believes until it looks at the clock
     fleet.voters[leader].check(fleet.simulation.now)
     assert replaced == []
-    assert not fleet.planes[leader].parts[0].leads
+    assert not fleet.planes[leader].shards[0].leads
 
 
 @pytest.mark.parametrize("how", ["freeze", "cut"])
@@ -272,12 +272,12 @@
 
 def quiet(voters=("a", "b", "c", "d"), learners=()):
     replica = QuietReplica(voters, learners)
-    part = SimpleNamespace(leads=True, replica=replica, pump=lambda: None)
+    shard = SimpleNamespace(leads=True, replica=replica, pump=lambda: None)
     plane = SimpleNamespace(
         settings=SimpleNamespace(machine_losses=1, bounds=SimpleNamespace(sync_s=SYNC_S)),
         membership=SimpleNamespace(alive=lambda role: []),
         identity="a",
-        parts=[part],
+        shards=[shard],
         counters=Counters("test"),
         stopping=False,
     )
@@ -362,7 +362,7 @@
 def test_members_are_bounded():
     fleet = Fleet(voters=3, spares=9)
     fleet.run(30 * SECOND)
-    assert len(fleet.members.all) == MOST_MEMBERS
+    assert len(fleet.members.all) == MAX_MEMBERS
     assert len(fleet.members.voters) == 3
 
 
--- a/tests/test_fleet_processes.py
+++ b/tests/test_fleet_processes.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from hopsail.controlplane.parts import PART_NAMES
+from hopsail.controlplane.shards import SHARD_NAMES
 from hopsail.replication.storage import Storage
 from hopsail.standins import fleet as fleet_module
 from hopsail.standins.fleet import (
@@ -147,9 +147,9 @@
         shutil.copytree(process.machine.data_path, copy)
     except shutil.Error:
         return False  # it has just replaced files
-    storage = Storage.open(str(copy), PART_NAMES)
+    storage = Storage.open(str(copy), SHARD_NAMES)
     try:
-        parts = [storage.load(name) for name in PART_NAMES]
+        parts = [storage.load(name) for name in SHARD_NAMES]
     finally:
         storage.close()
     return all(part is not None and part.recovered for part in parts)
--- a/tests/test_old_configurations.py
+++ b/tests/test_old_configurations.py
@@ -12,7 +12,7 @@
     started,
 )
 
-from hopsail.controlplane.contact import ASK_EVERY
+from hopsail.controlplane.contact import CONFIRM_INTERVAL_NS
 from hopsail.feed.confirmed import LONGEST_STEP
 from hopsail.feed.topics import Topic
 from hopsail.hosts.instance import Phase
@@ -284,7 +284,9 @@
     for _ in range(50):
         simulation.run(100 * MILLISECOND)
         for name in simulation.nodes:
-            assert 0 <= simulation.process(name).feeds.contact.age_ms() * MILLISECOND < 2 * ASK_EVERY
+            assert (
+                0 <= simulation.process(name).feeds.contact.age_ms() * MILLISECOND < 2 * CONFIRM_INTERVAL_NS
+            )
 
 
 def test_all_that_a_feed_tells_is_held_back():
--- a/tests/test_storage_power.py
+++ b/tests/test_storage_power.py
@@ -12,7 +12,7 @@
 from hopsail.replication.state import HardState, Members, Ready, Snapshot
 from hopsail.replication.storage import Storage, StorageError
 
-PARTS = ("p0", "p1")
+SHARD_COUNT = ("p0", "p1")
 MEMBERS = Members(("a", "b", "c"))
 
 
@@ -60,7 +60,7 @@
 
 def shown(store):
     found = {}
-    for part in PARTS:
+    for part in SHARD_COUNT:
         state = store.load(part)
         found[part] = state and (state.term, state.voted_for, state.recovered, state.snapshot, state.entries)
     return found
@@ -73,7 +73,7 @@
         path.unlink()
     for name, data in state.items():
         (copy / name).write_bytes(data)
-    store = Storage.open(str(copy), PARTS)
+    store = Storage.open(str(copy), SHARD_COUNT)
     found = shown(store)
     store.close()
     assert not store.corrupt
@@ -91,7 +91,7 @@
         assert found in allowed, (found, allowed)
 
     with monkeypatch.context() as patched:
-        store = Storage.open(str(folder), PARTS)
+        store = Storage.open(str(folder), SHARD_COUNT)
         model = PowerModel(folder, patched, lost)
         patched.setattr(storage, "MOST_RECORDS", 0)
         allowed = [shown(store)]
@@ -106,7 +106,7 @@
             allowed = [shown(store)]
             assert allowed == [after(before, part, ready)]
     assert model.points > 60 and model.states > 300
-    assert shown(Storage.open(str(folder), PARTS)) == allowed[0]
+    assert shown(Storage.open(str(folder), SHARD_COUNT)) == allowed[0]
 
 
 def after(before, part, ready):
@@ -154,7 +154,7 @@
             assert found in allowed, (found, allowed)  # noqa: B023
 
         with monkeypatch.context() as patched:
-            store = Storage.open(str(folder), PARTS)
+            store = Storage.open(str(folder), SHARD_COUNT)
             allowed = [shown(store)]
             PowerModel(folder, patched, lost)
             made = refuse(patched, first, calls)
@@ -167,7 +167,7 @@
                 allowed = [shown(store)]
         first += 7 if most_chunk == 700 else 1
         store.close()
-        assert shown(Storage.open(str(folder), PARTS)) == allowed[0]
+        assert shown(Storage.open(str(folder), SHARD_COUNT)) == allowed[0]
 
 
 def done(store, step):
--- a/tests/voters_simulation.py
+++ b/tests/voters_simulation.py
@@ -12,8 +12,8 @@
 SECOND = 1000 * MILLISECOND
 
 
-class SimulatedPart:
-    """A part's replica in the simulation, as its process has it."""
+class SimulatedShard:
+    """A shard's replica in the simulation, as its process has it."""
 
     def __init__(self, simulation: Simulation, name: str):
         self.simulation, self.node = simulation, simulation.nodes[name]
@@ -61,7 +61,7 @@
             settings=SimpleNamespace(machine_losses=losses, bounds=SimpleNamespace(sync_s=SYNC_S)),
             membership=SimpleNamespace(alive=self._members),
             identity=name,
-            parts=[SimulatedPart(self.simulation, name)],
+            shards=[SimulatedShard(self.simulation, name)],
             counters=Counters("test"),
             stopping=False,
         )
@@ -128,7 +128,7 @@
             self.up[name] = self.told[name] = False
 
     def terminate(self, name: str) -> None:
-        """SIGTERM: what the control process does about its parts then."""
+        """SIGTERM: what the control process does about its shards then."""
         self.planes[name].stopping = True
         self.simulation.nodes[name].replica.leave(self.simulation.now)
         self._came_or_went(name, False)
--- a/tests/weights/test_several_models.py
+++ b/tests/weights/test_several_models.py
@@ -45,7 +45,7 @@
         return f'{{"Saturated":false,"Models":[{models}]}}'.encode()
 
     def name_model(self, model, revision):
-        self.part.apply(Command(CommandKind.NAME_REVISION, 0, model, revision, "", b""))
+        self.shard.apply(Command(CommandKind.NAME_REVISION, 0, model, revision, "", b""))
         self.rollouts.wake()
 
 
