--- a/hopsail/__main__.py
+++ b/hopsail/__main__.py
@@ -64,10 +64,16 @@
         self.listener.hold(waits > 0)
         self.peers = None
         if settings.view is not None:
-            from .swim.node import Peers  # only here: what is off costs nothing
+            from .swim.node import SwimNode  # only here: what is off costs nothing
 
             many, seed = settings.settings.balancers, settings.seed
-            self.peers = Peers(self.loop, settings.view, many, seed, self.door.dealt)
+            self.peers = SwimNode(
+                self.loop,
+                settings.view,
+                balancers=many,
+                seed=seed,
+                on_quota_share=self.door.use_quota_share,
+            )
         self._open()
         self.adopt()
         self.loop.on_signal(signal.SIGTERM, self.stop)
@@ -180,7 +186,7 @@
         form(self.config.log_json, self.config.name)
         self._limit()
         if self.peers is not None:
-            self.peers.renewed(self.config.view)
+            self.peers.replace_settings(self.config.view)
         self.counters.add("configuration.taken")
         say("reload", "discovery at {}:{}".format(*self.config.discovery))
         if left:
--- a/hopsail/cli.py
+++ b/hopsail/cli.py
@@ -83,13 +83,15 @@
 
 def say_bounds(read):
     """What follows from the settings of the fleet's view, for as many balancers as the settings count."""
-    from .swim.settings import bounds
+    from .swim.settings import time_bounds
 
-    found = {name: time / 1e9 for name, time in bounds(read.view, read.settings.balancers).items()}
-    click.echo(f"peers: {read.settings.balancers} balancers; a crash is seen within {found['detect']:.1f} s, "
-               f"views are equal within {found['settle']:.1f} s of the last fault")  # fmt: skip
-    if read.view.stewards:
-        click.echo(f"peers: what a lost balancer had is dealt anew within {found['dealt']:.1f} s")
+    found = time_bounds(read.view, read.settings.balancers)
+    detection_s, convergence_s = found.detection_ns / 1e9, found.convergence_ns / 1e9
+    click.echo(f"peers: {read.settings.balancers} balancers; a crash is seen within {detection_s:.1f} s, "
+               f"views are equal within {convergence_s:.1f} s of the last fault")  # fmt: skip
+    if read.view.lease_servers:
+        reissue_s = found.lease_reissue_ns / 1e9
+        click.echo(f"peers: what a lost balancer had is dealt anew within {reissue_s:.1f} s")
 
 
 @main.group()
@@ -104,7 +106,7 @@
     """Faults between balancers that keep a view of the fleet. Status 1 when a view was wrong too long."""
     from .swim import study as measure
 
-    found = measure.membership(seed, quick)
+    found = measure.run_study(seed, quick)
     click.echo(json.dumps(found))
     sys.exit(int(found["violations"] > 0))
 
--- a/hopsail/config.py
+++ b/hopsail/config.py
@@ -193,13 +193,14 @@
     if tree.get("view") is None:
         return None
     found = part(tree, "view", dict)
-    from .swim import settings as rules
+    from .swim.errors import InvalidSettingsError
+    from .swim.settings import read_settings
 
     if find_spec("msgpack") is None:
         raise ConfigFault("view needs the library msgpack: pip install hopsail[peers]")
     try:
-        return rules.read(found, part(tree, "name", str), environment.get("TMPDIR"), address)
-    except rules.RulesFault as fault:
+        return read_settings(found, part(tree, "name", str), environment.get("TMPDIR"), address)
+    except InvalidSettingsError as fault:
         raise ConfigFault(str(fault)) from None
 
 
--- a/hopsail/emulator/world.py
+++ b/hopsail/emulator/world.py
@@ -22,8 +22,8 @@
     State,
 )
 from ..model import Subscribe, Track, WakeAt
-from ..swim.quota_leases import Holder, Steward, deal
-from ..swim.settings import Rules as Leases
+from ..swim.quota_leases import QuotaLeaseClient, QuotaLeaseServer, apply_quota_share
+from ..swim.settings import SwimSettings
 from ..storms import Rules
 from .clock import ANSWER, ARRIVAL, LIST, SAMPLE, TIMER, TROUBLE, Clock
 from .hosts import Host
@@ -93,40 +93,48 @@
         if not view.stewards or not hasattr(self.balancer, "granted"):
             return
         names = tuple(f"n{i}" for i in range(view.stewards))
-        place = "127.0.0.1", self.index + 1
-        rules = Leases(f"n{self.index}", "emulated", place, place, (), stewards=names, lease=view.lease)
-        self.holder = Holder(rules, now)
-        self.holder.balancers = self.world.scenario.fleet.balancers
-        self.steward = Steward(rules, now) if self.index < view.stewards else None
+        address = "127.0.0.1", self.index + 1
+        settings = SwimSettings(
+            name=f"n{self.index}",
+            fleet="emulated",
+            listen_address=address,
+            advertised_address=address,
+            keys=(),
+            lease_servers=names,
+            lease_ns=view.lease,
+        )
+        self.lease_client = QuotaLeaseClient(settings, now)
+        self.lease_client.balancers = self.world.scenario.fleet.balancers
+        self.lease_server = QuotaLeaseServer(settings, now) if self.index < view.stewards else None
         self._claim(self.life)
 
     def _claim(self, life):
         if not self.alive or life != self.life:
             return
         world, now = self.world, self.world.clock.now
-        for name, serial in self.holder.claims(now):
-            steward = world.nodes[int(name[1:])]
-            away = world.away(self.zone, steward.zone)
-            world.clock.at(now + away, TIMER, steward.claimed, self, life, name, serial)
-        deal(self.balancer, now, self.holder.part(now))
-        world.clock.at(self.holder.due(now), TIMER, self._claim, life)
-
-    def claimed(self, node, life, name, serial):
-        """As a steward: another asks for a part."""
-        if not self.alive or self.steward is None:
+        for name, number in self.lease_client.requests_due(now):
+            server = world.nodes[int(name[1:])]
+            away = world.away(self.zone, server.zone)
+            world.clock.at(now + away, TIMER, server.claimed, self, life, name, number)
+        apply_quota_share(self.balancer, now, self.lease_client.share(now))
+        world.clock.at(self.lease_client.next_due(now), TIMER, self._claim, life)
+
+    def claimed(self, node, life, name, number):
+        """As a lease server: another asks for a quota share."""
+        if not self.alive or self.lease_server is None:
             return
         world, now = self.world, self.world.clock.now
-        part, lasts = self.steward.claim(now, f"n{node.index}")
+        grant = self.lease_server.grant(now, f"n{node.index}")
         away = world.away(self.zone, node.zone)
-        world.clock.at(now + away, TIMER, node.granted, life, name, serial, part, lasts)
+        world.clock.at(now + away, TIMER, node.granted, life, name, number, grant)
 
-    def granted(self, life, name, serial, part, lasts):
+    def granted(self, life, name, number, grant):
         if self.alive and life == self.life:
             now = self.world.clock.now
-            self.holder.granted(now, name, serial, part, lasts)
-            deal(self.balancer, now, self.holder.part(now))
+            self.lease_client.handle_grant(name, number, grant)
+            apply_quota_share(self.balancer, now, self.lease_client.share(now))
 
-    steward = None
+    lease_server = None
 
     def die(self):
         self.alive = False
--- a/hopsail/load/mesh.py
+++ b/hopsail/load/mesh.py
@@ -19,8 +19,8 @@
 from ..model import MS, SECOND
 from ..net.loop import READ, Loop
 from ..net.stream import Stream, dial
-from ..swim.faults import spoilt
-from ..swim.settings import Rules, bounds
+from ..swim.faults import corrupt
+from ..swim.settings import SwimSettings, time_bounds
 from .ports import free_address
 from .processes import ROOT, RigFault
 from .scripted import SETTINGS, instance, update
@@ -88,7 +88,7 @@
         self.bytes += len(data)
         if random.random() < self.loss:
             return
-        data, copies = spoilt(data, random, self.spoilt)
+        data, copies = corrupt(data, random, self.spoilt)
         for _ in range(copies):
             delay = random.uniform(*DELAY) * MS
             if random.random() < LATE_PART:
@@ -143,8 +143,15 @@
         self.hub = Hub(self.loop, seed, period)
         self.members, self.twins, self.changed_at, self.up = {}, [], {}, set()
         self.keep = tempfile.TemporaryDirectory(prefix="hopsail-mesh-")
-        rules = Rules("b0", "mesh", ("", 1), ("", 1), (b"",), period=int(period * SECOND))
-        self.bound = bounds(rules, members)["settle"] / SECOND + STARTS
+        settings = SwimSettings(
+            name="b0",
+            fleet="mesh",
+            listen_address=("", 1),
+            advertised_address=("", 1),
+            keys=(b"",),
+            period_ns=int(period * SECOND),
+        )
+        self.convergence_bound = time_bounds(settings, members).convergence_ns / SECOND + STARTS
 
     def __enter__(self):
         try:
@@ -230,32 +237,38 @@
         self.changed_at[name] = self.now()
         self.up.discard(name)
 
-    def stop(self, name, still):
+    def stop(self, name):
+        self._signal(name, signal.SIGSTOP, still=True)
+
+    def resume(self, name):
+        self._signal(name, signal.SIGCONT, still=False)
+
+    def _signal(self, name, number, still):
         member = self.members[name]
-        member.process.send_signal(signal.SIGSTOP if still else signal.SIGCONT)
+        member.process.send_signal(number)
         member.still, self.changed_at[name] = still, self.now()
 
-    def twin(self, name):
+    def start_duplicate(self, name):
         member = Member(name, f"twin-{name}-{len(self.twins)}")
         self._launch(member, self.hub.join(member.owner, member.listen))
         self.twins.append(member)
         return member
 
-    def end_twin(self, member):
+    def end_duplicate(self, member):
         self._end(member)
         self.hub.leave(member.owner)
 
-    def link(self, a, b, up):
-        (self.hub.blocked.discard if up else self.hub.blocked.add)((a, b))
+    def block(self, sender, receiver):
+        self.hub.blocked.add((sender, receiver))
 
     def heal(self):
         self.hub.blocked.clear()
 
-    def lossy(self, part):
-        self.hub.loss = part
+    def set_loss(self, rate):
+        self.hub.loss = rate
 
-    def garbled(self, part):
-        self.hub.spoilt = part
+    def set_corruption(self, rate):
+        self.hub.spoilt = rate
 
     def rekey(self, name, keys):
         """Another ring of keys in its file, which it takes over on SIGHUP."""
@@ -270,12 +283,12 @@
     def now(self):
         return monotonic() - self.begin
 
-    def reach(self, a, b):
+    def can_reach(self, a, b):
         here = a in self.up and b in self.up
         still = here and (self.members[a].still or self.members[b].still)
         return here and not still and (a, b) not in self.hub.blocked
 
-    def calm_for(self, name):
+    def unchanged_for(self, name):
         return self.now() - self.changed_at[name]
 
     def ask(self, line, names=None):
@@ -294,7 +307,7 @@
             call.close()
         return {name: call.text.decode().strip() for name, call in calls.items() if call.text.endswith(b"\n")}
 
-    def look(self):
+    def snapshots(self):
         found = {}
         for name, text in self.ask(b"show-fleet").items():
             if text.startswith("{"):
--- a/hopsail/membership/identity.py
+++ b/hopsail/membership/identity.py
@@ -1,6 +1,6 @@
 """A member's identity: role, zone and node in one name that fits the wire's bound. No I/O.
 
-The wire carries one name of at most `LONGEST_NAME` bytes. It is written as `role|zone|node`, shortened as
+The wire carries one name of at most `MAX_NAME_BYTES` bytes. It is written as `role|zone|node`, shortened as
 follows: the system's own roles have codes of one letter, the zone's name inside the node's name becomes one
 character, and a part that is still too long (or holds a separator) is replaced by a hash of itself. Role and
 zone are decoded by every member as long as they were not hashed; a hashed zone is decoded by those who
@@ -11,14 +11,14 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
-from ..swim.settings import LONGEST_NAME
+from ..swim.settings import MAX_NAME_BYTES
 
 SEPARATOR = "|"
 ZONE_MARK = "%"  # stands for the zone's name inside the node's name
 HASH_MARK = "#"  # begins a part that is a hash
 HASH_BYTES = 5  # 40 bits: among 4,096 members two equal ones come once in 130,000 fleets
-LONGEST_ROLE = 10  # bytes
-LONGEST_ZONE = 18  # bytes, where the name as a whole is too long
+MAX_ROLE_BYTES = 10  # bytes
+MAX_ZONE_BYTES = 18  # bytes, where the name as a whole is too long
 ROLE_CODES = {"dataplane": "d", "controlplane": "c"}
 ROLES_BY_CODE = {code: role for role, code in ROLE_CODES.items()}
 
@@ -51,13 +51,13 @@
 
 
 def encode(identity: Identity) -> str:
-    """The name on the wire: at most `LONGEST_NAME` bytes."""
-    role = ROLE_CODES.get(identity.role) or _part(identity.role, LONGEST_ROLE)
+    """The name on the wire: at most `MAX_NAME_BYTES` bytes."""
+    role = ROLE_CODES.get(identity.role) or _part(identity.role, MAX_ROLE_BYTES)
     if role in ROLES_BY_CODE and identity.role not in ROLE_CODES:
         role = hashed(identity.role)
     least = len(SEPARATOR) * 2 + len(hashed(""))
-    zone = _part(identity.zone, min(LONGEST_ZONE, LONGEST_NAME - least - len(role.encode())))
-    room = LONGEST_NAME - len(SEPARATOR) * 2 - len(role.encode()) - len(zone.encode())
+    zone = _part(identity.zone, min(MAX_ZONE_BYTES, MAX_NAME_BYTES - least - len(role.encode())))
+    room = MAX_NAME_BYTES - len(SEPARATOR) * 2 - len(role.encode()) - len(zone.encode())
     return SEPARATOR.join((role, zone, _node_part(identity.node, zone, room)))
 
 
--- a/hopsail/membership/node.py
+++ b/hopsail/membership/node.py
@@ -1,31 +1,31 @@
-"""One process's membership on its loop: one UDP socket, one timer, and the pure core of `hopsail/swim`.
+"""One process's membership on its loop: one UDP socket, one timer, and the protocol of `hopsail.swim`.
 
-Life numbers come from the clock of this process's start, in microseconds, since data planes have no disk.
-When the clock was stepped back, the others answer with the later life that they know, and the core takes one
-above it (`Core.live_as`); no process is shut out for longer than one exchange."""
+Incarnations come from the clock of this process's start, in microseconds, since data planes have no disk.
+When the clock was stepped back, the others answer with the later incarnation that they know, and the protocol
+takes one above it; no process is rejected for longer than one exchange.
+"""
 
-import socket
 from collections.abc import Callable, Iterable, Sequence
-from dataclasses import replace
+from dataclasses import dataclass
 from hashlib import blake2b
 from random import Random
 from time import time_ns
 from typing import NamedTuple
 
-from ..net.loop import READ
-from ..swim.protocol import Core
-from ..swim.settings import MOST_SEEDS, MS, SECOND, Rules
-from ..swim.wire import Status
+from ..net.loop import Loop, Timer
+from ..net.udp import Address, DatagramSocket
+from ..swim.members import Member
+from ..swim.protocol import SwimProtocol
+from ..swim.settings import MAX_SEEDS, MS, SECOND, SwimSettings
+from ..swim.wire import MemberStatus
 from .identity import Identity, decode, encode
 
-Address = tuple[str, int]
-
-DATAGRAM = 1200  # bytes: below the MTU of every path, and a view of 73 members goes in four pieces
-MOST_DATAGRAMS = 64  # read in one round of the loop: connections must have their turn
-MOST_ZONES = 1024
-SEEN_ALIVE = 60 * SECOND  # ns for which a member that is gone still counts in `count_upper_bound`
-RETRY_TURN = 100 * MS  # ns to the next turn when one has failed
+MAX_DATAGRAM_BYTES = 1200  # below the MTU of every path, and a view of 73 members goes in four chunks
+MAX_ZONES = 1024
+RECENTLY_ALIVE_NS = 60 * SECOND  # for which a member that is dead still counts in `count_upper_bound`
+RETRY_TICK_NS = 100 * MS  # to the next tick when one has failed
 KEY_BYTES = 32
+DEFAULT_HEARTBEAT_MS = 1200
 
 
 class SystemMember(NamedTuple):
@@ -39,88 +39,93 @@
     suspect: bool
 
 
-def key_of(fleet: str) -> bytes:
+@dataclass(frozen=True, slots=True, kw_only=True)
+class MembershipSettings:
+    """Who this process is and where it finds others.
+
+    `zones` are the zone names that the settings list; they are needed only to read zones too long for the
+    wire. `seed` is that of random choices.
+    """
+
+    identity: Identity
+    address: Address
+    fleet: str
+    seeds: Sequence[Address]
+    seed: str
+    heartbeat_ms: int = DEFAULT_HEARTBEAT_MS
+    zones: Sequence[str] = ()
+
+    def swim_settings(self) -> SwimSettings:
+        """The protocol's settings for this process."""
+        return SwimSettings(
+            name=encode(self.identity),
+            fleet=self.fleet,
+            listen_address=self.address,
+            advertised_address=self.address,
+            keys=(fleet_key(self.fleet),),
+            seeds=other_seeds(self.address, self.seeds),
+            period_ns=self.heartbeat_ms * MS,
+            max_datagram_bytes=MAX_DATAGRAM_BYTES,
+        )
+
+
+def fleet_key(fleet: str) -> bytes:
     """The key that signs datagrams. It keeps fleets apart; there is no secret in the settings."""
     return blake2b(fleet.encode(), digest_size=KEY_BYTES, person=b"hopsail-members").digest()
 
 
-def rules_of(
-    identity: Identity, address: Address, fleet: str, seeds: Sequence[Address], heartbeat_ms: int
-) -> Rules:
-    """The core's rules for this process."""
-    return Rules(
-        name=encode(identity),
-        fleet=fleet,
-        listen=address,
-        place=address,
-        keys=(key_of(fleet),),
-        seeds=seeds_without(address, seeds),
-        period=heartbeat_ms * MS,
-        size=DATAGRAM,
-    )
-
-
-def seeds_without(address: Address, seeds: Iterable[Address]) -> tuple[Address, ...]:
-    """The seeds that are other processes, bounded."""
+def other_seeds(address: Address, seeds: Iterable[Address]) -> tuple[Address, ...]:
+    """The seeds that are other processes, at most MAX_SEEDS."""
     others = dict.fromkeys((host, port) for host, port in seeds)
-    others.pop(tuple(address), None)
-    return tuple(others)[:MOST_SEEDS]
+    others.pop(address, None)
+    return tuple(others)[:MAX_SEEDS]
 
 
 class Membership:
-    """Who lives, as this process sees it.
+    """Who is alive, as this process sees it.
 
-    `on_change()` is called, without arguments, after the view has changed. `zones` are the zone names
-    that the settings list; they are needed only to read zones too long for the wire. Raises OSError when
-    the address cannot be bound."""
+    `on_change()` is called, without arguments, after the view has changed. Raises OSError when the address
+    cannot be bound.
+    """
 
     def __init__(
-        self,
-        loop,
-        *,
-        name: str,
-        role: str,
-        zone: str,
-        address: Address,
-        fleet: str,
-        seeds: Sequence[Address],
-        seed: str,
-        heartbeat_ms: int = 1200,
-        on_change: Callable[[], None] | None = None,
-        zones: Iterable[str] = (),
-    ):
-        self.loop, self.on_change = loop, on_change
-        self.identity = Identity(role, zone, name)
-        self.address = (address[0], address[1])
-        self._zones = tuple(dict.fromkeys((zone, *zones)))[:MOST_ZONES]
-        self._decoded: dict[str, Identity] = {}  # by the name on the wire
-        self._seen_alive: dict[str, int] = {}  # name on the wire -> ns when it was last seen alive
-        self._told, self._timer = 0, None
-        rules = rules_of(self.identity, self.address, fleet, seeds, heartbeat_ms)
-        self._decoded[rules.name] = self.identity
-        life = time_ns() // 1000
-        self.core = Core(rules, Random(f"{seed}/{life}"), loop.now(), life)
-        self._sock = self._bound()
-        loop.watch(self._sock, READ, self._readable)
-        self._note_alive(loop.now())
-        self._turn()
-
-    def _bound(self) -> socket.socket:
-        sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-        sock.setblocking(False)
-        try:
-            sock.bind(self.address)
-        except OSError:
-            sock.close()
-            raise
-        return sock
-
-    # What it says.
+        self, loop: Loop, settings: MembershipSettings, on_change: Callable[[], None] | None = None
+    ) -> None:
+        """Binds the address and joins."""
+        self.on_change = on_change
+        self.identity = settings.identity
+        self.address = settings.address
+        self._loop = loop
+        self._zones = tuple(dict.fromkeys((self.identity.zone, *settings.zones)))[:MAX_ZONES]
+        swim_settings = settings.swim_settings()
+        self._identities = {swim_settings.name: self.identity}  # by the name on the wire
+        self._last_alive_ns: dict[str, int] = {}  # by the name on the wire
+        self._notified_version = 0
+        self._timer: Timer | None = None
+        incarnation = time_ns() // 1000
+        random = Random(f"{settings.seed}/{incarnation}")
+        self._protocol = SwimProtocol(swim_settings, random, loop.now(), incarnation)
+        self._socket = DatagramSocket(
+            loop,
+            self.address,
+            max_bytes=MAX_DATAGRAM_BYTES,
+            on_datagram=self._receive,
+            on_batch_end=self._flush,
+        )
+        self._record_alive(loop.now())
+        self._tick()
+
+    # What is known.
 
     @property
     def members(self) -> list[SystemMember]:
-        """All members that are known, this process among them; those that are gone for some minutes, too."""
-        return [self._shown(member) for member in self.core.members.values()]
+        """All members that are known, this process among them; those that are dead for some minutes, too."""
+        return [self._system_member(member) for member in self._protocol.members.by_name.values()]
+
+    @property
+    def incarnation(self) -> int:
+        """This process's incarnation."""
+        return self._protocol.incarnation
 
     def alive(self, role: str) -> list[SystemMember]:
         """Members of a role that live (also when suspected), this process among them if it has the role."""
@@ -129,95 +134,91 @@
     @property
     def joined(self) -> bool:
         """Whether another member's view has been taken in; before, counts know of this process only."""
-        return self.core.joined
+        return self._protocol.anti_entropy.has_joined
 
     def count_upper_bound(self, role: str, now: int) -> int:
         """Members of a role alive now or within the last 60 s, at least 1: a safe divisor of shared budgets.
 
-        `now` is the loop's time in ns."""
-        self._note_alive(now)
-        recent = (name for name, seen in self._seen_alive.items() if now - seen <= SEEN_ALIVE)
+        `now` is the loop's time in ns.
+        """
+        self._record_alive(now)
+        recent = (name for name, seen in self._last_alive_ns.items() if now - seen <= RECENTLY_ALIVE_NS)
         return max(1, sum(self._identity(name).role == role for name in recent))
 
     def figures(self) -> dict[str, int]:
-        """Names and numbers for staff."""
-        counts = {
-            f"members_{key.replace('.', '_')}": value for key, value in sorted(self.core.counts.items())
-        }
-        return {"members_alive": self.core.alive, "members_aware": self.core.aware} | counts
+        """Names and numbers for operators."""
+        protocol = self._protocol
+        counts = {f"members_{key.replace('.', '_')}": value for key, value in sorted(protocol.counts.items())}
+        return {
+            "members_alive": protocol.members.live_count(),
+            "members_aware": protocol.health.score,
+        } | counts
 
     def _identity(self, name: str) -> Identity:
-        found = self._decoded.get(name)
+        found = self._identities.get(name)
         if found is None:
-            found = self._decoded[name] = decode(name, self._zones)
+            found = self._identities[name] = decode(name, self._zones)
         return found
 
-    def _shown(self, member) -> SystemMember:
+    def _system_member(self, member: Member) -> SystemMember:
         role, zone, node = self._identity(member.name)
-        return SystemMember(node, role, zone, member.place, member.here, member.status is Status.SUSPECT)
+        return SystemMember(
+            node, role, zone, member.address, member.is_live, member.status is MemberStatus.SUSPECT
+        )
 
     # What it is told to do.
 
-    def renew_seeds(self, seeds: Sequence[Address]) -> None:
-        """Other processes to be asked when others are lost, from now on."""
-        self.core.rules = replace(self.core.rules, seeds=seeds_without(self.address, seeds))
+    def replace_seeds(self, seeds: Sequence[Address]) -> None:
+        """Asks these processes when others are lost, from now on."""
+        self._protocol.replace_seeds(other_seeds(self.address, seeds))
 
     def leave(self) -> None:
         """Tells others that this process ends as planned; it is no member any more."""
-        self.core.leave(self.loop.now())
+        self._protocol.leave(self._loop.now())
         self._flush()
 
     def close(self) -> None:
-        """Gives back socket and timer."""
+        """Closes socket and timer; a second call does nothing."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-            self.loop.unwatch(self._sock)
-            self._sock.close()
-
-    # The loop's side.
-
-    def _readable(self, _mask) -> None:
-        for _ in range(MOST_DATAGRAMS):
-            try:
-                data, _ = self._sock.recvfrom(DATAGRAM + 1)
-            except BlockingIOError:
-                break
-            except OSError:
-                continue  # an earlier datagram found nobody there
-            self.core.received(self.loop.now(), data)
-        self._flush()
+            self._socket.close()
+
+    # What the loop calls.
+
+    def _receive(self, data: bytes, _sender: Address) -> None:
+        self._protocol.receive(self._loop.now(), data)
 
-    def _turn(self) -> None:
-        self._timer = self.loop.at(self.loop.now() + RETRY_TURN, self._turn)  # first: no fault may end it
-        self.core.tick(self.loop.now())
-        self._timer.cancel()
-        self._timer = self.loop.at(self.core.due, self._turn)
+    def _tick(self) -> None:
+        retry = self._loop.at(self._loop.now() + RETRY_TICK_NS, self._tick)  # first: no fault may end it
+        self._timer = retry
+        self._protocol.tick(self._loop.now())
+        retry.cancel()
+        self._timer = self._loop.at(self._protocol.next_tick_ns, self._tick)
         self._flush()
 
     def _flush(self) -> None:
-        out, self.core.out = self.core.out, []
-        for address, data in out:
-            try:
-                self._sock.sendto(data, address)
-            except OSError:
-                self.core.counts["unsent"] += 1  # as if lost on the way
-        if self.core.changed != self._told:
-            self._told = self.core.changed
-            self._changed()
-
-    def _changed(self) -> None:
-        self._note_alive(self.loop.now())
+        for address, data in self._protocol.take_datagrams():
+            if not self._socket.send(address, data):
+                self._protocol.counts["unsent"] += 1
+        version = self._protocol.members.version
+        if version != self._notified_version:
+            self._notified_version = version
+            self._notify()
+
+    def _notify(self) -> None:
+        self._record_alive(self._loop.now())
         if self.on_change is not None:
             self.on_change()
 
-    def _note_alive(self, now: int) -> None:
-        """Keeps when each member was last seen alive, bounded by the core's bound of members."""
-        for member in self.core.members.values():
-            if member.here:
-                self._seen_alive[member.name] = now
-        for name in [name for name, seen in self._seen_alive.items() if now - seen > SEEN_ALIVE]:
-            del self._seen_alive[name]
-        for name in [name for name in self._decoded if name not in self.core.members]:
-            if name not in self._seen_alive:
-                del self._decoded[name]
+    def _record_alive(self, now: int) -> None:
+        """Keeps when each member was last seen alive, bounded by the protocol's bound of members."""
+        members = self._protocol.members.by_name
+        for member in members.values():
+            if member.is_live:
+                self._last_alive_ns[member.name] = now
+        for name in [name for name, seen in self._last_alive_ns.items() if now - seen > RECENTLY_ALIVE_NS]:
+            del self._last_alive_ns[name]
+        for name in [name for name in self._identities if name not in members]:
+            if name not in self._last_alive_ns:
+                del self._identities[name]
--- a/hopsail/net/door.py
+++ b/hopsail/net/door.py
@@ -89,11 +89,11 @@
         if self.balancer.storms:
             self.balancer.storms.connected(self.loop.now())
 
-    def dealt(self, part):
-        """This balancer's part of what all share is another from now on."""
-        from ..swim.quota_leases import deal  # only who has peers comes here
+    def use_quota_share(self, share):
+        """This balancer's share of what all balancers share is another from now on."""
+        from ..swim.quota_leases import apply_quota_share  # only who has peers comes here
 
-        deal(self.balancer, self.loop.now(), part)
+        apply_quota_share(self.balancer, self.loop.now(), share)
 
     def storm(self):
         """What storm control sees, as operators' figures; nothing where it is off."""
--- a/hopsail/net/operator.py
+++ b/hopsail/net/operator.py
@@ -157,16 +157,16 @@
         return self.node.peers
 
     def show_fleet(self):
-        return self._fleet().shown(), 0
+        return self._fleet().view_json(), 0
 
     def remove_peer(self, name):
-        return self._peer(name, False)
+        return self._peer(self._fleet().remove(name))
 
     def admit_peer(self, name):
-        return self._peer(name, True)
+        return self._peer(self._fleet().admit(name))
 
-    def _peer(self, name, stays):
-        if not self._fleet().order(name, stays):
+    def _peer(self, known):
+        if not known:
             raise CallFault("no other balancer has this name")
         return "done", 0
 
--- a/hopsail/process.py
+++ b/hopsail/process.py
@@ -14,7 +14,8 @@
 from .configuration.process import ProcessSettings, parse_settings
 from .errors import HopsailError
 from .event_log import get_logger
-from .membership.node import Membership
+from .membership.identity import Identity
+from .membership.node import Membership, MembershipSettings
 from .net.counters import Counters
 from .net.loop import Loop, Timer
 
@@ -99,20 +100,20 @@
         settings = self.settings
         self.membership = Membership(
             self.loop,
-            name=settings.node_name,
-            role=role,
-            zone=settings.zone,
-            address=(settings.ip, settings.port_first),
-            fleet=FLEET,
-            seeds=self.seeds,
-            seed=settings.node_name,
-            heartbeat_ms=int(settings.heartbeat_ms),
+            MembershipSettings(
+                identity=Identity(role, settings.zone, settings.node_name),
+                address=(settings.ip, settings.port_first),
+                fleet=FLEET,
+                seeds=self.seeds,
+                seed=settings.node_name,
+                heartbeat_ms=int(settings.heartbeat_ms),
+            ),
         )
         return self.membership
 
     def apply_settings(self, settings: ProcessSettings) -> None:
         """Applies settings that have changed: the seeds; all else needs a new start."""
-        self.membership.renew_seeds(self.seeds)
+        self.membership.replace_seeds(self.seeds)
 
     def terminate(self) -> None:
         """Begins the shutdown, once."""
--- a/hopsail/swim/heartbeat.py
+++ b/hopsail/swim/heartbeat.py
@@ -1,48 +1,52 @@
-"""The plain way to know who lives, as a baseline for studies: each tells all others each period that it does.
+"""All-to-all heartbeats, as a baseline for studies: each member tells all others each period that it lives.
 
-News of members and their identity are the core's; probes, helpers, doubts and defences are not used."""
+Updates, incarnations and pulls are those of the protocol; probes, suspicions and refutations are not used.
+"""
 
-from .protocol import GONE, Core
-from .wire import PAD, Kind
+from random import Random
 
-SILENT = 5  # periods with no word from a member, until it is taken for gone
+from .protocol import SwimProtocol
+from .settings import SwimSettings
+from .wire import MemberStatus, Message, Pull, ViewChunk
 
+TIMEOUT_PERIODS = 5
 
-class Heartbeat(Core):
-    def __init__(self, *arguments):
-        super().__init__(*arguments)
-        self.heard = {}
 
-    def _take(self, message, length):
-        super()._take(message, length)
-        self.heard[message.sender.name] = self.now
+class HeartbeatProtocol(SwimProtocol):
+    """A member that only sends and expects heartbeats."""
 
-    def _answer(self, message, length):
-        known = self.members[message.sender.name]
-        if not known.here:
-            self._become(known, 0)
-        if message.kind in (Kind.PULL, Kind.PIECE):
-            super()._answer(message, length)
-        elif not self.joined and self.pull is None:
-            self._pull(message.sender.place)
+    def __init__(self, settings: SwimSettings, random: Random, now: int, incarnation: int) -> None:
+        """As SwimProtocol."""
+        super().__init__(settings, random, now, incarnation)
+        self._received_ns: dict[str, int] = {}  # name -> when its last message was received
+        self._context.rechecks.capacity = 0
 
-    def _ask_again(self, member):
-        pass
+    def _handle_message(self, message: Message, length: int) -> None:
+        super()._handle_message(message, length)
+        self._received_ns[message.sender.name] = self._now
 
-    def _step(self, now):
-        if now < self.probe_at:
+    def _handle_payload(self, message: Message, length: int) -> None:
+        sender = self.members.by_name[message.sender.name]
+        if not sender.is_live:
+            self.view.set_status(sender, MemberStatus.ALIVE, self._now)
+        if isinstance(message.payload, Pull | ViewChunk):
+            super()._handle_payload(message, length)
+        else:
+            self.anti_entropy.join_through(sender.address, self._now)
+
+    def _do_due(self, now: int) -> None:
+        if now < self.detector.next_probe_ns:
             return
-        self.probe_at = now + self.rules.period
-        self.serial += 1
-        for member in list(self.members.values()):
-            if member is self.me:
+        self.detector.next_probe_ns = now + self.settings.period_ns
+        number = self.outbox.next_number()
+        for member in list(self.members.by_name.values()):
+            if member is self.members.own:
                 continue
-            self._send(member.place, Kind.PING, [self.serial, self.digest(), PAD])
-            silent = now - self.heard.setdefault(member.name, now)
-            if member.here and silent > SILENT * self.rules.period:
-                self._become(member, GONE)
-        if len(self.members) == 1:
-            for place in self.rules.seeds:
-                self._send(place, Kind.PING, [self.serial, self.digest(), PAD])
-        if self.pull is not None and now >= self.pull[2]:
-            self.pull = None
+            self.outbox.ping(member.address, number=number)
+            silence_ns = now - self._received_ns.setdefault(member.name, now)
+            if member.is_live and silence_ns > TIMEOUT_PERIODS * self.settings.period_ns:
+                self.view.set_status(member, MemberStatus.DEAD, now)
+        if len(self.members.by_name) == 1:
+            for address in self.settings.seeds:
+                self.outbox.ping(address, number=number)
+        self.anti_entropy.abandon_overdue(now)
--- a/hopsail/swim/incarnation.py
+++ b/hopsail/swim/incarnation.py
@@ -1,62 +1,73 @@
-"""The number of a process's life, later than that of any life before: a small file where there is a disk."""
+"""The incarnation of a process, later than that of any earlier start: a small file where there is a disk."""
 
 import json
 import os
+from collections.abc import Iterable
 from hashlib import blake2b
 from pathlib import Path
 
-from .settings import MOST_SEEDS
-from .wire import MOST
+from .errors import IncarnationFileError
+from .settings import MAX_SEEDS, Address
+from .wire import MAX_NUMBER
 
-FORM = 1
-MOST_BYTES = 1 << 16
+FILE_FORMAT = 1
+MAX_FILE_BYTES = 1 << 16
+CHECKSUM_BYTES = 8
 
 
-def _sum(text):
-    return blake2b(text.encode(), digest_size=8).hexdigest()
+def _checksum(text: str) -> str:
+    return blake2b(text.encode(), digest_size=CHECKSUM_BYTES).hexdigest()
 
 
-class Life:
-    """`number` is this life's; `places`: where members were in the last one; `fault`: what is wrong."""
+class IncarnationStore:
+    """Keeps the incarnation, and where other members were, across restarts.
 
-    def __init__(self, folder: str | None, name: str, unix_ms: int):
-        self.path = Path(folder) / f"hopsail-life-{name.encode().hex()}" if folder else None
-        self.number, self.places, self.fault = unix_ms, [], ""
-        if self.path is None:
+    `incarnation` is that of this start, `addresses` are those of members at the end of the last one, `error`
+    says what is wrong with the file, if anything is.
+    """
+
+    def __init__(self, folder: str | None, name: str, unix_ms: int) -> None:
+        """Reads and renews the file of this member; without a folder the time alone is the incarnation."""
+        self.incarnation = unix_ms
+        self.addresses: list[Address] = []
+        self.error = ""
+        self._path = Path(folder) / f"hopsail-life-{name.encode().hex()}" if folder else None
+        if self._path is None:
             return
         try:
-            self._read(unix_ms)
+            self._read(self._path, unix_ms)
         except FileNotFoundError:
             pass
-        except (OSError, ValueError, TypeError, KeyError, RecursionError) as fault:
-            # A start time is later than any life that began on the same clock; the file is made anew.
-            self.fault = f"{self.path.name} cannot be used, a new one begins: {type(fault).__name__}"
-        self.keep(self.number, self.places)
-
-    def _read(self, unix_ms):
-        with self.path.open("rb") as file:
-            data = file.read(MOST_BYTES + 1)
-        text, _, check = data.decode().rstrip("\n").rpartition(" ")
-        if len(data) > MOST_BYTES or _sum(text) != check:
-            raise ValueError("the sum is wrong")
+        except (OSError, ValueError, TypeError, KeyError, RecursionError) as error:
+            # A start time is later than any incarnation that began on the same clock; the file is made anew.
+            self.error = f"{self._path.name} cannot be used, a new one begins: {type(error).__name__}"
+        self.save(self.incarnation, self.addresses)
+
+    def _read(self, path: Path, unix_ms: int) -> None:
+        with path.open("rb") as file:
+            data = file.read(MAX_FILE_BYTES + 1)
+        text, _, checksum = data.decode().rstrip("\n").rpartition(" ")
+        if len(data) > MAX_FILE_BYTES or _checksum(text) != checksum:
+            raise IncarnationFileError("the checksum is wrong")
         tree = json.loads(text)
-        if tree["form"] != FORM or type(tree["life"]) is not int or not 0 <= tree["life"] < MOST:
-            raise ValueError("not of this form")
-        self.number = max(unix_ms, tree["life"] + 1)
-        self.places = [(str(host), int(port)) for host, port in tree["places"]][:MOST_SEEDS]
-
-    def keep(self, number, places):
-        """Written whole or not at all: killed at any point, the last file that was whole is there."""
-        self.number = number
-        if self.path is None:
+        stored = tree["life"]
+        if tree["form"] != FILE_FORMAT or type(stored) is not int or not 0 <= stored < MAX_NUMBER:
+            raise IncarnationFileError("the format is unknown")
+        self.incarnation = max(unix_ms, stored + 1)
+        self.addresses = [(str(host), int(port)) for host, port in tree["places"]][:MAX_SEEDS]
+
+    def save(self, incarnation: int, addresses: Iterable[Address]) -> None:
+        """Replaces the file as a whole: after a crash at any point a complete one is there."""
+        self.incarnation = incarnation
+        if self._path is None:
             return
-        text = json.dumps({"form": FORM, "life": number, "places": list(places)[:MOST_SEEDS]})
-        new = self.path.with_suffix(".new")
+        text = json.dumps({"form": FILE_FORMAT, "life": incarnation, "places": list(addresses)[:MAX_SEEDS]})
+        new_path = self._path.with_suffix(".new")
         try:
-            with new.open("w") as file:
-                file.write(f"{text} {_sum(text)}\n")
+            with new_path.open("w") as file:
+                file.write(f"{text} {_checksum(text)}\n")
                 file.flush()
                 os.fsync(file.fileno())
-            os.replace(new, self.path)
-        except OSError as fault:
-            self.fault = f"{self.path.name} cannot be kept: {fault.strerror}"
+            os.replace(new_path, self._path)
+        except OSError as error:
+            self.error = f"{self._path.name} cannot be kept: {error.strerror}"
--- a/hopsail/swim/settings.py
+++ b/hopsail/swim/settings.py
@@ -1,144 +1,215 @@
-"""The settings of the fleet's view: checked, with the bounds that follow from them. No I/O."""
+"""The settings of membership: checked, with the time bounds that follow from them. No I/O."""
 
 from collections.abc import Callable, Mapping
 from dataclasses import dataclass
 from math import ceil, log2, log10
+from typing import NamedTuple
+
+from .errors import InvalidSettingsError
+
+Address = tuple[str, int]
 
 # Not those of `hopsail.model`, whose import would take longer than that of all the rest here.
 MS = 1_000_000
 SECOND = 1_000_000_000
-LEAST_SIZE, MOST_SIZE = 256, 1400  # bytes of a datagram: a small fleet's news, and what no way cuts up
-LONGEST_NAME = 32  # bytes: a message with two names and an entry fits into the smallest datagram
-MOST_MEMBERS = 4096  # of a view; further names are refused
-LEAST_KEY = 16  # bytes of a key
-MOST_KEYS, MOST_SEEDS, MOST_STEWARDS = 4, 16, 9
-HELPERS = 3  # members that try in the place of one whose probe failed
-DOUBTS = 3  # independent doubts after which a suspicion has its shortest time
-SUSPECT_TIMES = 4  # periods, times log10 of the members: the least time to defend oneself
-SUSPECT_MOST = 3  # times that, for a doubt that nobody shares
-AWARE_MOST = 3  # how far a member slows down that has noticed its own lateness
-NEWS_TIMES = 3  # times log2 of the members that each piece of news is sent
-SEARCH = 8  # periods in which some member surely probes another: all miss it with 1 in 3,000
-RETRY = 2  # periods between tries to reach members that are gone
-RESERVE = 0.5  # of an equal part is a balancer's own, with or without a lease
-DRIFT = 0.02  # between two clocks, of the time that they measure
-
-
-class RulesFault(ValueError):
-    """The settings cannot be used; the text names the key."""
-
-
-@dataclass(frozen=True)
-class Rules:
+
+MIN_DATAGRAM_BYTES = 256  # holds a message with two names and one update
+MAX_DATAGRAM_BYTES = 1400  # below the MTU of every path
+DEFAULT_DATAGRAM_BYTES = 512
+MAX_NAME_BYTES = 32
+MAX_MEMBERS = 4096  # of a view; further names are rejected
+MIN_KEY_BYTES, MAX_KEY_BYTES = 16, 64
+MAX_KEYS, MAX_SEEDS, MAX_LEASE_SERVERS = 4, 16, 9
+
+INDIRECT_PROBES = 3  # members that probe in place of one whose own probe failed
+SUSPICION_CONFIRMATIONS = 3  # independent suspicions after which the timeout is the shortest
+MIN_SUSPICION_PERIODS = 4  # times log10 of the members
+SUSPICION_MAX_FACTOR = 3  # of the shortest timeout, for a suspicion that nobody confirms
+MAX_LOCAL_HEALTH = 3  # how far a member that has noticed its own lateness slows down
+RETRANSMIT_FACTOR = 3  # times log2 of the members that each update is sent
+DETECTION_PERIODS = 8  # within which some member probes another, except once in 3,000
+RECONNECT_PERIODS = 2  # between attempts to reach members that are dead
+RESERVED_SHARE = 0.5  # of an equal share, a balancer's own with or without a lease
+MAX_CLOCK_DRIFT = 0.02  # between two clocks, of the time that they measure
+
+
+@dataclass(frozen=True, slots=True, kw_only=True)
+class SwimSettings:
     """Times in ns, sizes in bytes."""
 
     name: str
     fleet: str
-    listen: tuple[str, int]
-    place: tuple[str, int]  # where others reach this member
-    keys: tuple[bytes, ...]  # the first signs, all are taken
-    seeds: tuple[tuple[str, int], ...] = ()
-    stewards: tuple[str, ...] = ()
-    period: int = SECOND
-    size: int = 512
-    lease: int = 6 * SECOND
-    remember: int = 600 * SECOND
-    folder: str | None = None  # where the life is kept
+    listen_address: Address
+    advertised_address: Address  # where others reach this member
+    keys: tuple[bytes, ...]  # the first signs, all are accepted
+    seeds: tuple[Address, ...] = ()
+    lease_servers: tuple[str, ...] = ()  # names of the members that lease out quota shares
+    period_ns: int = SECOND
+    max_datagram_bytes: int = DEFAULT_DATAGRAM_BYTES
+    lease_ns: int = 6 * SECOND
+    forget_dead_ns: int = 600 * SECOND
+    folder: str | None = None  # of the incarnation file
 
     @property
-    def patience(self):
-        """For a probe's answer before others are asked to try."""
-        return self.period * 3 // 10
-
-
-def spread(rules: Rules, members: int) -> int:
-    """ns in which news reaches all, of so many members, with rumours sent each period."""
-    return rules.period * NEWS_TIMES * ceil(log2(members + 1))
-
-
-def suspicion(rules: Rules, members: int, doubts: int = 1) -> int:
-    """ns that a suspected member has to defend itself, when so many members doubt it."""
-    least = SUSPECT_TIMES * max(1.0, log10(max(1, members)))
-    share = min(1.0, log2(doubts) / log2(DOUBTS)) if doubts > 1 else 0.0
-    return int(rules.period * least * (SUSPECT_MOST - (SUSPECT_MOST - 1) * share))
-
-
-def bounds(rules: Rules, members: int) -> dict[str, int]:
-    """ns within which a crash is noticed, views are equal after a fault, and a lost part is dealt anew."""
-    slow = 1 + AWARE_MOST / 2  # a fault makes those next to it slow down, and they recover on the way
-    detect = int(slow * rules.period * (SEARCH + 1)) + suspicion(rules, members)
-    # A cut that heals: one of the lost is tried each RETRY, views are compared, each lost one defends itself.
-    rounds = (RETRY + 2) * (3 + log2(members + 1))
-    settle = detect + 2 * spread(rules, members) + int(slow * rules.period * rounds)
-    dealt = int(rules.lease * (1 + DRIFT) * 4 / 3) + rules.period
-    return {"detect": detect, "settle": settle, "dealt": dealt}
-
-
-def read(tree: Mapping, name: str, folder: str | None, place: Callable) -> Rules:
-    """The rules from the configuration's `view`; `place(text, least)` reads host:port."""
-
-    def one(key, kind, default=None, needed=False):
-        value = tree.get(key, default)
-        if (value is None and needed) or (value is not None and not isinstance(value, kind)) or value is True:
-            raise RulesFault(f"view.{key} holds {value!r:.80}" if key in tree else f"view.{key} is missing")
+    def ack_timeout_ns(self) -> int:
+        """Wait for an acknowledgement before indirect probes are sent."""
+        return self.period_ns * 3 // 10
+
+
+class TimeBounds(NamedTuple):
+    """Within which time, in ns, something has happened at all members."""
+
+    detection_ns: int  # a crash is noticed
+    convergence_ns: int  # views are equal after the last fault
+    lease_reissue_ns: int  # the quota share of a dead member is leased to others
+
+
+def dissemination_time_ns(settings: SwimSettings, members: int) -> int:
+    """Within which an update reaches all of so many members."""
+    return settings.period_ns * RETRANSMIT_FACTOR * ceil(log2(members + 1))
+
+
+def suspicion_timeout_ns(settings: SwimSettings, members: int, confirmations: int = 1) -> int:
+    """How long a suspected member may refute, when so many members suspect it."""
+    shortest = MIN_SUSPICION_PERIODS * max(1.0, log10(max(1, members)))
+    share = min(1.0, log2(confirmations) / log2(SUSPICION_CONFIRMATIONS)) if confirmations > 1 else 0.0
+    return int(settings.period_ns * shortest * (SUSPICION_MAX_FACTOR - (SUSPICION_MAX_FACTOR - 1) * share))
+
+
+def time_bounds(settings: SwimSettings, members: int) -> TimeBounds:
+    """The bounds for a fleet of so many members."""
+    # A fault makes those next to it slow down, and they recover on the way.
+    slowdown = 1 + MAX_LOCAL_HEALTH / 2
+    detection = int(slowdown * settings.period_ns * (DETECTION_PERIODS + 1))
+    detection += suspicion_timeout_ns(settings, members)
+    # After a partition a dead member is pinged each RECONNECT_PERIODS, views are compared, each one refutes.
+    periods = (RECONNECT_PERIODS + 2) * (3 + log2(members + 1))
+    convergence = detection + 2 * dissemination_time_ns(settings, members)
+    convergence += int(slowdown * settings.period_ns * periods)
+    reissue = int(settings.lease_ns * (1 + MAX_CLOCK_DRIFT) * 4 / 3) + settings.period_ns
+    return TimeBounds(detection, convergence, reissue)
+
+
+class _ViewReader:
+    """Reads the configuration's object `view` key by key. All methods raise InvalidSettingsError."""
+
+    def __init__(self, tree: Mapping[str, object], parse_address: Callable[[str, int], Address]) -> None:
+        self._tree = tree
+        self._parse_address = parse_address
+
+    def _check(self, key: str, value: object, valid: bool) -> None:
+        if not valid or value is True:
+            missing = key not in self._tree
+            raise InvalidSettingsError(
+                f"view.{key} is missing" if missing else f"view.{key} holds {value!r:.80}"
+            )
+
+    def text(self, key: str) -> str:
+        value = self._tree.get(key)
+        self._check(key, value, isinstance(value, str))
+        return str(value)
+
+    def optional_text(self, key: str, default: str | None) -> str | None:
+        value = self._tree.get(key, default)
+        self._check(key, value, value is None or isinstance(value, str))
+        return None if value is None else str(value)
+
+    def number(self, key: str, minimum: int, maximum: int, default: int) -> int:
+        value = self._tree.get(key, default)
+        if value is True or not isinstance(value, int):
+            raise InvalidSettingsError(f"view.{key} holds {value!r:.80}")
+        if not minimum <= value <= maximum:
+            raise InvalidSettingsError(f"view.{key} holds {value}: {minimum} to {maximum} is needed")
         return value
 
-    def number(key, least, most, default):
-        value = one(key, int, default)
-        if not least <= value <= most:
-            raise RulesFault(f"view.{key} holds {value}: {least} to {most} is needed")
+    def texts(self, key: str, maximum: int) -> list[str]:
+        value = self._tree.get(key, [])
+        if value is None or not isinstance(value, list):
+            raise InvalidSettingsError(f"view.{key} holds {value!r:.80}")
+        if len(value) > maximum or not all(isinstance(one, str) for one in value):
+            raise InvalidSettingsError(f"view.{key} holds {value!r:.80}: at most {maximum} texts are needed")
         return value
 
-    def places(key, least=1):
-        text = one(key, str, needed=True)
+    def address(self, key: str) -> Address:
+        return self._address(key, self.text(key))
+
+    def addresses(self, key: str, maximum: int) -> tuple[Address, ...]:
+        return tuple(self._address(key, text) for text in self.texts(key, maximum))
+
+    def _address(self, key: str, text: str) -> Address:
         try:
-            return place(text, least)
-        except ValueError as fault:
-            raise RulesFault(f"view.{key}: {fault}") from None
+            return self._parse_address(text, 1)
+        except ValueError as error:
+            raise InvalidSettingsError(f"view.{key}: {error}") from None
 
-    def texts(key, most):
-        values = one(key, list, [])
-        if len(values) > most or not all(isinstance(value, str) for value in values):
-            raise RulesFault(f"view.{key} holds {values!r:.80}: at most {most} texts are needed")
-        return values
+    def keys(self) -> tuple[bytes, ...]:
+        found = tuple(self._key(text) for text in self.texts("keys", MAX_KEYS))
+        if not found:
+            raise InvalidSettingsError("view.keys is missing: strangers must not join")
+        return found
 
-    if unknown := tree.keys() - KEYS:
-        raise RulesFault(f"view.{min(unknown)} is unknown; there are {', '.join(sorted(KEYS))}")
-    if not 0 < len(name.encode()) <= LONGEST_NAME:
-        raise RulesFault(f"name holds {name!r:.80}: with `view`, 1 to {LONGEST_NAME} bytes are needed")
-    keys = []
-    for text in texts("keys", MOST_KEYS):
+    def _key(self, text: str) -> bytes:
         try:
-            keys.append(bytes.fromhex(text))
+            key = bytes.fromhex(text)
         except ValueError:
-            raise RulesFault("view.keys: a key is no hexadecimal number") from None
-        if not LEAST_KEY <= len(keys[-1]) <= 64:
-            raise RulesFault(f"view.keys: a key has {len(keys[-1])} bytes; {LEAST_KEY} to 64 are needed")
-    if not keys:
-        raise RulesFault("view.keys is missing: strangers must not join")
-    seeds = []
-    for text in texts("seeds", MOST_SEEDS):
-        try:
-            seeds.append(place(text, 1))
-        except ValueError as fault:
-            raise RulesFault(f"view.seeds: {fault}") from None
-    stewards = texts("stewards", MOST_STEWARDS)
-    if len(set(stewards)) != len(stewards) or not all(0 < len(s.encode()) <= LONGEST_NAME for s in stewards):
-        raise RulesFault("view.stewards: each needs another name, and one that a balancer can have")
-    fleet = one("fleet", str, needed=True)
+            raise InvalidSettingsError("view.keys: a key is no hexadecimal number") from None
+        if not MIN_KEY_BYTES <= len(key) <= MAX_KEY_BYTES:
+            raise InvalidSettingsError(
+                f"view.keys: a key has {len(key)} bytes; {MIN_KEY_BYTES} to {MAX_KEY_BYTES} are needed"
+            )
+        return key
+
+    def lease_servers(self) -> tuple[str, ...]:
+        names = self.texts("stewards", MAX_LEASE_SERVERS)
+        fitting = all(0 < len(name.encode()) <= MAX_NAME_BYTES for name in names)
+        if len(set(names)) != len(names) or not fitting:
+            raise InvalidSettingsError(
+                "view.stewards: each needs another name, and one that a balancer can have"
+            )
+        return tuple(names)
+
+
+def read_settings(
+    tree: Mapping[str, object], name: str, folder: str | None, parse_address: Callable[[str, int], Address]
+) -> SwimSettings:
+    """The settings from the configuration's object `view`.
+
+    `parse_address(text, minimum_port)` reads host:port and raises ValueError. `folder` is used where the
+    object names none. Raises InvalidSettingsError.
+    """
+    if unknown := tree.keys() - KEYS:
+        raise InvalidSettingsError(f"view.{min(unknown)} is unknown; there are {', '.join(sorted(KEYS))}")
+    if not 0 < len(name.encode()) <= MAX_NAME_BYTES:
+        raise InvalidSettingsError(
+            f"name holds {name!r:.80}: with `view`, 1 to {MAX_NAME_BYTES} bytes are needed"
+        )
+    reader = _ViewReader(tree, parse_address)
+    keys = reader.keys()
+    seeds = reader.addresses("seeds", MAX_SEEDS)
+    lease_servers = reader.lease_servers()
+    fleet = reader.text("fleet")
     if not fleet:
-        raise RulesFault("view.fleet is empty")
-    listen = places("listen")
-    return Rules(
-        name=name, fleet=fleet, listen=listen, place=places("advertise") if "advertise" in tree else listen,
-        keys=tuple(keys), seeds=tuple(seeds), stewards=tuple(stewards),
-        period=number("period_ms", 50, 60_000, 1000) * MS,
-        size=number("datagram", LEAST_SIZE, MOST_SIZE, 512),
-        lease=number("lease_ms", 500, 600_000, 6000) * MS,
-        remember=number("remember_s", 60, 86_400, 600) * SECOND,
-        folder=one("folder", str, folder),
-    )  # fmt: skip
-
-
-KEYS = {"fleet", "listen", "advertise", "keys", "seeds", "stewards", "period_ms", "datagram", "lease_ms",
-        "remember_s", "folder"}  # fmt: skip
+        raise InvalidSettingsError("view.fleet is empty")
+    listen_address = reader.address("listen")
+    return SwimSettings(
+        name=name,
+        fleet=fleet,
+        listen_address=listen_address,
+        advertised_address=reader.address("advertise") if "advertise" in tree else listen_address,
+        keys=keys,
+        seeds=seeds,
+        lease_servers=lease_servers,
+        period_ns=reader.number("period_ms", 50, 60_000, 1000) * MS,
+        max_datagram_bytes=reader.number(
+            "datagram", MIN_DATAGRAM_BYTES, MAX_DATAGRAM_BYTES, DEFAULT_DATAGRAM_BYTES
+        ),
+        lease_ns=reader.number("lease_ms", 500, 600_000, 6000) * MS,
+        forget_dead_ns=reader.number("remember_s", 60, 86_400, 600) * SECOND,
+        folder=reader.optional_text("folder", folder),
+    )
+
+
+KEYS = frozenset({
+    "fleet", "listen", "advertise", "keys", "seeds", "stewards", "period_ms", "datagram", "lease_ms",
+    "remember_s", "folder",
+})  # fmt: skip
--- a/hopsail/swim/simulation.py
+++ b/hopsail/swim/simulation.py
@@ -1,187 +1,282 @@
-"""The same core on a simulated network, seeded: for thousands of schedules, and for large fleets."""
+"""A fleet of the protocol on a simulated network, seeded: for thousands of schedules, and large fleets."""
 
+from collections.abc import Callable
 from heapq import heappop, heappush
 from itertools import count
 from random import Random
+from typing import Protocol
 
 from ..model import MS, SECOND
-from .protocol import Core
-from .faults import spoilt
-from .settings import Rules, bounds
+from .errors import MessageStormError
+from .faults import corrupt
+from .protocol import SwimProtocol, ViewSnapshot
+from .settings import DEFAULT_DATAGRAM_BYTES, Address, SwimSettings, time_bounds
 
 KEY = bytes(range(32))
-STORM = 100  # datagrams a member each period, on the mean: calm fleets send less than ten
-INBOX = 200  # datagrams that wait for a process that stands still, as in a socket's buffer
-
-
-class StormFault(RuntimeError):
-    """Messages cause messages without end."""
-
-
-class Process:
-    def __init__(self, name, place, core, at):
-        self.name, self.place, self.core, self.at = name, place, core, at
-        self.stopped, self.inbox, self.sent, self.bytes = False, [], 0, 0
-
-
-class Sim:
-    """A fleet of so many members. Times are seconds outside, ns inside."""
-
-    def __init__(self, members, seed=1, period=1.0, size=512, loss=0.0, stewards=0, core=Core, **more):
-        self.random, self.core = Random(f"sim/{seed}"), core
+FLEET = "sim"
+# Datagrams a member each period, on average, from which on it is a storm: calm fleets send less than ten.
+STORM_DATAGRAMS = 100
+MAX_STOPPED_DATAGRAMS = 200  # that wait for a stopped process, as in a socket's buffer
+MIN_DELAY_MS, MAX_DELAY_MS = 0.2, 2.0
+LATE_RATE = 0.02  # of the datagrams, which others overtake
+MAX_LATE_PERIODS = 0.25
+
+
+class ProtocolFactory(Protocol):
+    """Makes one member's protocol, as the class SwimProtocol does."""
+
+    def __call__(self, settings: SwimSettings, random: Random, now: int, incarnation: int) -> SwimProtocol:
+        """A member that has just started."""
+
+
+class SimulatedProcess:
+    """One process of a simulated fleet; `is_running` is false once it has been killed."""
+
+    def __init__(self, name: str, address: Address, protocol: SwimProtocol) -> None:
+        """Starts running."""
+        self.name = name
+        self.address = address
+        self.protocol = protocol
+        self.next_tick_ns = protocol.next_tick_ns
+        self.is_running = True
+        self.is_stopped = False
+        self.waiting: list[bytes] = []  # datagrams, while it is stopped
+        self.sent_datagrams = 0
+        self.sent_bytes = 0
+
+
+class SimulatedFleet:
+    """A fleet of so many members that faults can be played on. Times are seconds outside, ns inside."""
+
+    def __init__(  # noqa: PLR0913 - the keywords of a trial
+        self,
+        members: int,
+        *,
+        seed: int = 1,
+        period: float = 1.0,
+        max_datagram_bytes: int = DEFAULT_DATAGRAM_BYTES,
+        loss: float = 0.0,
+        lease_servers: int = 0,
+        protocol: ProtocolFactory = SwimProtocol,
+    ) -> None:
+        """Starts all members; `loss` is the rate of datagrams that are lost."""
         self.names = [f"b{i}" for i in range(members)]
-        self.rules = {}
-        self.period, self.seeds, self.clock = period, self.names[: 2 if members > 3 else 1], 0
-        self.events, self.serial, self.ports = [], count(), count(1)
-        self.processes, self.at, self.blocked, self.kept = {}, {}, set(), {}
-        self.loss, self.spoilt = loss, 0.0
-        self.changed_at, self.carried = {}, 0
-        self.more = {"period": int(period * SECOND), "size": size, "keys": (KEY,), "fleet": "sim",
-                     "stewards": tuple(self.names[:stewards])} | more  # fmt: skip
-        self.places = {name: self._place() for name in self.names}
+        self.seeds = self.names[: 2 if members > 3 else 1]
+        self.period = period
+        self.clock_ns = 0
+        self.processes: dict[str, SimulatedProcess] = {}
+        self._protocol = protocol
+        self._random = Random(f"sim/{seed}")
+        self._max_datagram_bytes = max_datagram_bytes
+        self._lease_servers = tuple(self.names[:lease_servers])
+        self._events: list[tuple[int, int, Callable[[], None]]] = []
+        self._serial = count()
+        self._hosts = count(1)
+        self._by_address: dict[Address, SimulatedProcess] = {}
+        self._blocked: set[tuple[str, str]] = set()
+        self._saved: dict[
+            str, tuple[int, tuple[Address, ...]]
+        ] = {}  # incarnation and addresses, as on a disk
+        self._loss_rate = loss
+        self._corruption_rate = 0.0
+        self._changed_at_ns: dict[str, int] = {}
+        self._carried_datagrams = 0
+        self.addresses = {name: self._new_address() for name in self.names}
         for name in self.names:
             self.start(name)
-        some = self.processes[self.names[0]].core.rules
-        self.bound = bounds(some, members)["settle"] / SECOND
-
-    def _place(self):
-        port = next(self.ports)
-        return f"10.{port >> 16}.{port >> 8 & 255}.{port & 255}", 7000
+        settings = self._settings(self.names[0], self.addresses[self.names[0]])
+        self.convergence_bound = time_bounds(settings, members).convergence_ns / SECOND
+
+    def _new_address(self) -> Address:
+        host = next(self._hosts)
+        return f"10.{host >> 16}.{host >> 8 & 255}.{host & 255}", 7000
+
+    def _settings(self, name: str, address: Address) -> SwimSettings:
+        return SwimSettings(
+            name=name,
+            fleet=FLEET,
+            listen_address=address,
+            advertised_address=address,
+            keys=(KEY,),
+            seeds=tuple(self.addresses[seed] for seed in self.seeds if seed != name),
+            lease_servers=self._lease_servers,
+            period_ns=int(self.period * SECOND),
+            max_datagram_bytes=self._max_datagram_bytes,
+        )
 
     # What a fleet can be told to do.
 
-    def start(self, name, moved=False, at=None):
+    def start(self, name: str, moved: bool = False) -> None:
+        """Starts a process under this name, at a new address if it has moved."""
         if moved:
-            self.places[name] = self._place()
-        place = at or self.places[name]
-        seeds = tuple(self.places[seed] for seed in self.seeds if seed != name)
-        rules = Rules(name=name, listen=place, place=place, seeds=seeds, **self.more)
-        # A disk that keeps lives: one is later than the last, also when the clock stood still.
-        life, places = self.kept.get(name, (0, ()))
-        life = max(life + 1, self.clock // MS)
-        self.kept[name] = (life, places)
-        core = self.core(rules, Random(f"{self.random.random()}"), self.clock, life)
-        core.earlier = tuple(places)
-        core.holder.balancers = len(self.names)
-        process = Process(name, place, core, self.clock)
-        if at is None:
-            self.processes[name] = process
-            self.changed_at[name] = self.clock
-        self.at[place] = process
-        self._turn(process)
+            self.addresses[name] = self._new_address()
+        process = self._make_process(name, self.addresses[name])
+        self.processes[name] = process
+        self._changed_at_ns[name] = self.clock_ns
+        self._run_process(process)
+
+    def _make_process(self, name: str, address: Address) -> SimulatedProcess:
+        # On the disk is the last incarnation: the new one is later, also when the clock stood still.
+        last_incarnation, earlier_addresses = self._saved.get(name, (0, ()))
+        incarnation = max(last_incarnation + 1, self.clock_ns // MS)
+        self._saved[name] = (incarnation, earlier_addresses)
+        settings = self._settings(name, address)
+        random = Random(f"{self._random.random()}")
+        protocol = self._protocol(settings, random, self.clock_ns, incarnation)
+        protocol.reconnector.earlier_addresses = earlier_addresses
+        protocol.lease_client.balancers = len(self.names)
+        process = SimulatedProcess(name, address, protocol)
+        self._by_address[address] = process
         return process
 
-    def kill(self, name):
+    def _save(self, process: SimulatedProcess) -> None:
+        protocol = process.protocol
+        self._saved[process.name] = (protocol.incarnation, tuple(protocol.live_addresses()))
+
+    def kill(self, name: str) -> None:
+        """Ends a process without a goodbye."""
         process = self.processes.pop(name)
-        self.kept[name] = (process.core.life, process.core.places())
-        self.at.pop(process.place, None)
-        process.core = None
-        self.changed_at[name] = self.clock
+        self._save(process)
+        self._end(process)
+        self._changed_at_ns[name] = self.clock_ns
 
-    def leave(self, name):
-        process = self.processes[name]
-        process.core.leave(self.clock)
-        self._flush(process)
-        self.kept[name] = (process.core.life, process.core.places())
-        self.changed_at[name] = self.clock
+    def _end(self, process: SimulatedProcess) -> None:
+        self._by_address.pop(process.address, None)
+        process.is_running = False
 
-    def stop(self, name, still):
+    def leave(self, name: str) -> None:
+        """Has a process announce that it leaves."""
         process = self.processes[name]
-        process.stopped, self.changed_at[name] = still, self.clock
-        if not still:
-            inbox, process.inbox = process.inbox, []
-            for data in inbox:
-                process.core.received(self.clock, data)
-            self._turn(process)
-
-    def twin(self, name):
-        return self.start(name, at=self._place())
+        process.protocol.leave(self.clock_ns)
+        self._send_datagrams(process)
+        self._save(process)
+        self._changed_at_ns[name] = self.clock_ns
+
+    def stop(self, name: str) -> None:
+        """Stops a process, as SIGSTOP does."""
+        self.processes[name].is_stopped = True
+        self._changed_at_ns[name] = self.clock_ns
+
+    def resume(self, name: str) -> None:
+        """Has a stopped process go on."""
+        process = self.processes[name]
+        process.is_stopped = False
+        self._changed_at_ns[name] = self.clock_ns
+        waiting, process.waiting = process.waiting, []
+        for data in waiting:
+            process.protocol.receive(self.clock_ns, data)
+        self._run_process(process)
+
+    def start_duplicate(self, name: str) -> SimulatedProcess:
+        """Starts another process under a name that lives, at an address of its own."""
+        process = self._make_process(name, self._new_address())
+        self._run_process(process)
+        return process
 
-    def end_twin(self, process):
-        self.at.pop(process.place, None)
-        process.core = None
+    def end_duplicate(self, process: SimulatedProcess) -> None:
+        """Ends such a process."""
+        self._end(process)
 
-    def link(self, a, b, up):
-        (self.blocked.discard if up else self.blocked.add)((a, b))
+    def block(self, sender: str, receiver: str) -> None:
+        """Has datagrams from one to the other lost."""
+        self._blocked.add((sender, receiver))
 
-    def heal(self):
-        self.blocked.clear()
+    def heal(self) -> None:
+        """Has all reach each other again."""
+        self._blocked.clear()
 
-    def lossy(self, part):
-        self.loss = part
+    def set_loss(self, rate: float) -> None:
+        """Has so many of the datagrams lost, 0 to 1."""
+        self._loss_rate = rate
 
-    def garbled(self, part):
-        self.spoilt = part
+    def set_corruption(self, rate: float) -> None:
+        """Has so many of the datagrams duplicated or changed, 0 to 1."""
+        self._corruption_rate = rate
 
     # What can be seen of it.
 
-    def now(self):
-        return self.clock / SECOND
-
-    def reach(self, a, b):
-        here = a in self.processes and b in self.processes
-        still = here and (self.processes[a].stopped or self.processes[b].stopped)
-        return here and not still and (a, b) not in self.blocked
-
-    def calm_for(self, name):
-        return (self.clock - self.changed_at[name]) / SECOND
-
-    def look(self):
-        return {name: process.core.shown(self.clock) for name, process in self.processes.items()
-                if not process.stopped and not process.core.leaving}  # fmt: skip
+    def now(self) -> float:
+        """Seconds since the start."""
+        return self.clock_ns / SECOND
+
+    def can_reach(self, sender: str, receiver: str) -> bool:
+        """Whether both run and datagrams from one to the other arrive."""
+        if sender not in self.processes or receiver not in self.processes:
+            return False
+        stopped = self.processes[sender].is_stopped or self.processes[receiver].is_stopped
+        return not stopped and (sender, receiver) not in self._blocked
+
+    def unchanged_for(self, name: str) -> float:
+        """Seconds since a process was started, ended, stopped or resumed."""
+        return (self.clock_ns - self._changed_at_ns[name]) / SECOND
+
+    def snapshots(self) -> dict[str, ViewSnapshot]:
+        """The view of each process that can be asked."""
+        return {
+            name: process.protocol.snapshot(self.clock_ns)
+            for name, process in self.processes.items()
+            if not process.is_stopped and not process.protocol.is_leaving
+        }
 
     # How it goes on.
 
-    def run(self, seconds):
-        until = self.clock + int(seconds * SECOND)
-        while self.events and self.events[0][0] <= until:
-            self.clock, _, act, args = heappop(self.events)
-            act(*args)
-        self.clock = until
+    def run(self, seconds: float) -> None:
+        """Lets so much time pass."""
+        end_ns = self.clock_ns + int(seconds * SECOND)
+        while self._events and self._events[0][0] <= end_ns:
+            self.clock_ns, _, act = heappop(self._events)
+            act()
+        self.clock_ns = end_ns
 
-    def _later(self, at, act, *args):
-        heappush(self.events, (at, next(self.serial), act, args))
+    def _schedule(self, at_ns: int, act: Callable[[], None]) -> None:
+        heappush(self._events, (at_ns, next(self._serial), act))
 
-    def _turn(self, process):
-        if process.core is None or process.stopped:
+    def _run_process(self, process: SimulatedProcess) -> None:
+        if not process.is_running or process.is_stopped:
             return
-        process.core.tick(self.clock)
-        self._flush(process)
-        process.at = process.core.due
-        self._later(process.at, self._due, process, process.at)
-
-    def _due(self, process, at):
-        if process.at == at:
-            self._turn(process)
-
-    def _flush(self, process):
-        out, process.core.out = process.core.out, []
-        for place, data in out:
-            process.sent += 1
-            process.bytes += len(data)
-            self._carry(process, place, data)
-
-    def _carry(self, process, place, data):
-        self.carried += 1
-        if self.carried > STORM * len(self.names) * (50 + self.now() / self.period):
-            raise StormFault("the members send each other more and more")
-        target, random = self.at.get(place), self.random
-        if target is None or (process.name, target.name) in self.blocked or random.random() < self.loss:
+        process.protocol.tick(self.clock_ns)
+        self._send_datagrams(process)
+        due_ns = process.next_tick_ns = process.protocol.next_tick_ns
+        self._schedule(due_ns, lambda: self._run_if_due(process, due_ns))
+
+    def _run_if_due(self, process: SimulatedProcess, due_ns: int) -> None:
+        if process.next_tick_ns == due_ns:
+            self._run_process(process)
+
+    def _send_datagrams(self, process: SimulatedProcess) -> None:
+        for address, data in process.protocol.take_datagrams():
+            process.sent_datagrams += 1
+            process.sent_bytes += len(data)
+            self._carry(process, address, data)
+
+    def _carry(self, process: SimulatedProcess, address: Address, data: bytes) -> None:
+        self._check_storm()
+        target, random = self._by_address.get(address), self._random
+        if target is None or (process.name, target.name) in self._blocked:
             return
-        data, copies = spoilt(data, random, self.spoilt)
-        for _ in range(copies):
-            # Now and then one is late, so that others overtake it.
-            delay = random.uniform(0.2, 2.0) * MS
-            if random.random() < 0.02:
-                delay += random.random() * self.period * SECOND / 4
-            self._later(self.clock + int(delay), self._arrive, target, data)
-
-    def _arrive(self, target, data):
-        if target.core is None:
+        if random.random() < self._loss_rate:
             return
-        if target.stopped:
-            if len(target.inbox) < INBOX:
-                target.inbox.append(data)
+        data, copies = corrupt(data, random, self._corruption_rate)
+        for _ in range(copies):
+            delay = random.uniform(MIN_DELAY_MS, MAX_DELAY_MS) * MS
+            if random.random() < LATE_RATE:
+                delay += random.random() * self.period * SECOND * MAX_LATE_PERIODS
+            self._deliver_later(target, data, self.clock_ns + int(delay))
+
+    def _deliver_later(self, target: SimulatedProcess, data: bytes, at_ns: int) -> None:
+        self._schedule(at_ns, lambda: self._deliver(target, data))
+
+    def _check_storm(self) -> None:
+        self._carried_datagrams += 1
+        periods = 50 + self.now() / self.period
+        if self._carried_datagrams > STORM_DATAGRAMS * len(self.names) * periods:
+            raise MessageStormError("the members send each other more and more")
+
+    def _deliver(self, target: SimulatedProcess, data: bytes) -> None:
+        if not target.is_running:
             return
-        target.core.received(self.clock, data)
-        self._flush(target)
+        if not target.is_stopped:
+            target.protocol.receive(self.clock_ns, data)
+            self._send_datagrams(target)
+        elif len(target.waiting) < MAX_STOPPED_DATAGRAMS:
+            target.waiting.append(data)
--- a/hopsail/swim/wire.py
+++ b/hopsail/swim/wire.py
@@ -1,191 +1,406 @@
-"""Datagrams between balancers: signed, of one fleet, each taken once. No I/O.
+"""Datagrams between members: signed, of one fleet. No I/O.
 
-A datagram is a form (1 byte), a tag of the fleet (4 bytes), a signature (16 bytes, BLAKE2b keyed; the tag is
-signed, too) and a body in MessagePack: [name, place, life, count, order, sequence, kind, arguments, news].
-What does not fit that is dropped with the reason, and never answered."""
+A datagram is a format version (1 byte), a tag of the fleet (4 bytes), a signature (16 bytes, keyed BLAKE2b
+over tag and body) and a body in MessagePack:
+[name, address, incarnation, refutations, removal version, sequence, kind, fields, updates].
+What does not fit that is rejected with the reason, and never answered.
+"""
 
 import hmac
+from collections.abc import Sequence
+from dataclasses import dataclass
 from enum import IntEnum
 from hashlib import blake2b
 from ipaddress import IPv4Address
-from typing import NamedTuple
+from typing import ClassVar, NamedTuple, Self
 
 import msgpack
 
-from .settings import LONGEST_NAME
+from .errors import DatagramRejectedError, RejectReason
+from .settings import MAX_NAME_BYTES, Address
 
-FORM = 1
-SIGNATURE, TAG = 16, 4
-HEAD = 1 + TAG + SIGNATURE
-MOST = 2**63 - 1  # of any number: beyond it nothing could follow
-WINDOW = 256  # messages of one life that may overtake each other
+FORMAT_VERSION = 1
+SIGNATURE_BYTES, FLEET_TAG_BYTES = 16, 4
+HEADER_BYTES = 1 + FLEET_TAG_BYTES + SIGNATURE_BYTES
+ADDRESS_BYTES = 6
+MAX_NUMBER = 2**63 - 1  # of any number: beyond it nothing could follow
+# An answer's names and numbers are at most by so much longer than those of its request.
+PADDING = bytes(72)
 
 
-class Status(IntEnum):
-    """In the order in which, at equal counts, one takes the place of another."""
+class MemberStatus(IntEnum):
+    """In the order in which, at equal versions, one overrides another."""
 
     ALIVE = 0
     SUSPECT = 1
-    GONE = 2
+    DEAD = 2
     LEFT = 3
 
 
-class Kind(IntEnum):
-    PING = 0  # [number, digest of the view, padding]
-    ACK = 1  # [number, digest]
-    ASK = 2  # [number, place]: ping it for me
-    PULL = 3  # [cursor, padding]: the view's entries after that name
-    PIECE = 4  # [next cursor, "" at the end; entries]
-    REFUSED = 5  # [reason]
-    CLAIM = 6  # [number, padding]: a part of the whole
-    GRANT = 7  # [number, part, ns]
+class MessageKind(IntEnum):
+    """The numbers on the wire of the kinds of message."""
 
+    PING = 0
+    ACK = 1
+    PING_REQUEST = 2
+    PULL = 3
+    VIEW_CHUNK = 4
+    REJECTED = 5
+    LEASE_REQUEST = 6
+    LEASE_GRANT = 7
 
-ARGUMENTS = {Kind.PING: (int, int, bytes), Kind.ACK: (int, int), Kind.ASK: (int, bytes),
-             Kind.PULL: (str, bytes),
-             Kind.PIECE: (str, list), Kind.REFUSED: (str,), Kind.CLAIM: (int, bytes),
-             Kind.GRANT: (int, int, int)}  # fmt: skip
 
+def _malformed() -> DatagramRejectedError:
+    return DatagramRejectedError(RejectReason.MALFORMED)
 
-PAD = bytes(72)  # by so much at most an answer's names and numbers are longer than its question's
 
+# Types are compared exactly: for isinstance, True would be a number.
 
-class Refused(ValueError):
-    """A datagram is dropped; the text is why, in one word."""
 
+def _decode_number(value: object) -> int:
+    if type(value) is not int or not 0 <= value <= MAX_NUMBER:
+        raise _malformed()
+    return value
 
-class Entry(NamedTuple):
-    """What is said of a member."""
 
-    name: str
-    place: tuple[str, int]
-    life: int
-    count: int  # of its defences in this life
-    status: Status
-    order: int = 0  # staff's orders about it: odd = it is removed
-    by: int = 0  # who doubts it, as a number
+def _decode_text(value: object) -> str:
+    if type(value) is not str:
+        raise _malformed()
+    return value
 
-    def pack(self):
-        return [self.name, packed(self.place), self.life, self.count, int(self.status), self.order, self.by]
 
+def _decode_bytes(value: object) -> bytes:
+    if type(value) is not bytes:
+        raise _malformed()
+    return value
 
-class Message(NamedTuple):
-    sender: Entry
-    sequence: int
-    kind: Kind
-    arguments: list
-    news: list[Entry]
 
+def _decode_list(value: object, length: int | None = None) -> list[object]:
+    if type(value) is not list or (length is not None and len(value) != length):
+        raise _malformed()
+    return value
 
-def packed(place):
-    return IPv4Address(place[0]).packed + place[1].to_bytes(2, "big")
 
+def encode_address(address: Address) -> bytes:
+    """An IPv4 address and port in 6 bytes."""
+    return IPv4Address(address[0]).packed + address[1].to_bytes(2, "big")
 
-def unpacked(data):
-    if type(data) is not bytes or len(data) != 6 or not any(data[4:]):
-        raise Refused("shape")
+
+def decode_address(value: object) -> Address:
+    """The address and port in these 6 bytes. Raises DatagramRejectedError."""
+    data = _decode_bytes(value)
+    if len(data) != ADDRESS_BYTES or not any(data[4:]):
+        raise _malformed()
     return str(IPv4Address(data[:4])), int.from_bytes(data[4:], "big")
 
 
-def tag(fleet):
-    return blake2b(fleet.encode(), digest_size=TAG).digest()
+class MemberUpdate(NamedTuple):
+    """What one member tells another of a member."""
+
+    name: str
+    address: Address
+    incarnation: int
+    refutations: int  # of suspicions in this incarnation
+    status: MemberStatus
+    removal_version: int = 0  # counts operators' removals and admissions; odd = it is removed
+    suspected_by: int = 0  # checksum of the name of a member that suspects it
+
+    def encode(self) -> list[object]:
+        """The update as it is put into MessagePack."""
+        return [
+            self.name,
+            encode_address(self.address),
+            self.incarnation,
+            self.refutations,
+            int(self.status),
+            self.removal_version,
+            self.suspected_by,
+        ]
+
+    @classmethod
+    def decode(cls, value: object) -> Self:
+        """The update from MessagePack. Raises DatagramRejectedError."""
+        fields = _decode_list(value, 7)
+        name = _decode_text(fields[0])
+        if not 0 < len(name.encode()) <= MAX_NAME_BYTES:
+            raise _malformed()
+        incarnation, refutations, status, removal_version, suspected_by = map(_decode_number, fields[2:])
+        if status > MemberStatus.LEFT:
+            raise _malformed()
+        return cls(
+            name=name,
+            address=decode_address(fields[1]),
+            incarnation=incarnation,
+            refutations=refutations,
+            status=MemberStatus(status),
+            removal_version=removal_version,
+            suspected_by=suspected_by,
+        )
+
+
+def _decode_updates(value: object) -> list[MemberUpdate]:
+    return [MemberUpdate.decode(one) for one in _decode_list(value)]
+
+
+@dataclass(frozen=True, slots=True)
+class Ping:
+    """Asks for an acknowledgement; tells the digest of the sender's view."""
+
+    KIND: ClassVar = MessageKind.PING
+    number: int
+    digest: int
+    padding: bytes = PADDING
+
+    def encode(self) -> list[object]:
+        """The fields as they are put into MessagePack."""
+        return [self.number, self.digest, self.padding]
+
+    @classmethod
+    def decode(cls, value: object) -> Self:
+        """The payload from MessagePack. Raises DatagramRejectedError."""
+        number, digest, padding = _decode_list(value, 3)
+        return cls(_decode_number(number), _decode_number(digest), _decode_bytes(padding))
+
+
+@dataclass(frozen=True, slots=True)
+class Ack:
+    """Answers the ping of this number; tells the digest of the sender's view."""
+
+    KIND: ClassVar = MessageKind.ACK
+    number: int
+    digest: int
+
+    def encode(self) -> list[object]:
+        """The fields as they are put into MessagePack."""
+        return [self.number, self.digest]
+
+    @classmethod
+    def decode(cls, value: object) -> Self:
+        """The payload from MessagePack. Raises DatagramRejectedError."""
+        number, digest = _decode_list(value, 2)
+        return cls(_decode_number(number), _decode_number(digest))
+
+
+@dataclass(frozen=True, slots=True)
+class PingRequest:
+    """An indirect probe: the receiver shall ping the target and pass on its acknowledgement."""
+
+    KIND: ClassVar = MessageKind.PING_REQUEST
+    number: int
+    target: Address
+
+    def encode(self) -> list[object]:
+        """The fields as they are put into MessagePack."""
+        return [self.number, encode_address(self.target)]
+
+    @classmethod
+    def decode(cls, value: object) -> Self:
+        """The payload from MessagePack. Raises DatagramRejectedError."""
+        number, target = _decode_list(value, 2)
+        return cls(_decode_number(number), decode_address(target))
+
+
+@dataclass(frozen=True, slots=True)
+class Pull:
+    """Asks for the receiver's view: its members with names after the cursor."""
+
+    KIND: ClassVar = MessageKind.PULL
+    cursor: str
+    padding: bytes = b""
+
+    def encode(self) -> list[object]:
+        """The fields as they are put into MessagePack."""
+        return [self.cursor, self.padding]
+
+    @classmethod
+    def decode(cls, value: object) -> Self:
+        """The payload from MessagePack. Raises DatagramRejectedError."""
+        cursor, padding = _decode_list(value, 2)
+        return cls(_decode_text(cursor), _decode_bytes(padding))
+
+
+@dataclass(frozen=True, slots=True)
+class ViewChunk:
+    """Answers a pull with as many members as fit; `next_cursor` is empty at the end of the view."""
+
+    KIND: ClassVar = MessageKind.VIEW_CHUNK
+    next_cursor: str
+    members: Sequence[MemberUpdate]
+
+    def encode(self) -> list[object]:
+        """The fields as they are put into MessagePack."""
+        return [self.next_cursor, [member.encode() for member in self.members]]
+
+    @classmethod
+    def decode(cls, value: object) -> Self:
+        """The payload from MessagePack. Raises DatagramRejectedError."""
+        next_cursor, members = _decode_list(value, 2)
+        return cls(_decode_text(next_cursor), _decode_updates(members))
+
+
+@dataclass(frozen=True, slots=True)
+class Rejected:
+    """Tells the receiver why it is not accepted as a member."""
+
+    KIND: ClassVar = MessageKind.REJECTED
+    reason: str
+
+    def encode(self) -> list[object]:
+        """The fields as they are put into MessagePack."""
+        return [self.reason]
+
+    @classmethod
+    def decode(cls, value: object) -> Self:
+        """The payload from MessagePack. Raises DatagramRejectedError."""
+        (reason,) = _decode_list(value, 1)
+        return cls(_decode_text(reason))
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseRequest:
+    """Asks a lease server for a quota share."""
+
+    KIND: ClassVar = MessageKind.LEASE_REQUEST
+    number: int
+    padding: bytes = PADDING
+
+    def encode(self) -> list[object]:
+        """The fields as they are put into MessagePack."""
+        return [self.number, self.padding]
+
+    @classmethod
+    def decode(cls, value: object) -> Self:
+        """The payload from MessagePack. Raises DatagramRejectedError."""
+        number, padding = _decode_list(value, 2)
+        return cls(_decode_number(number), _decode_bytes(padding))
+
+
+@dataclass(frozen=True, slots=True)
+class LeaseGrant:
+    """Answers the lease request of this number."""
+
+    KIND: ClassVar = MessageKind.LEASE_GRANT
+    number: int
+    share: int  # in units of `quota_leases.WHOLE`
+    duration_ns: int
+
+    def encode(self) -> list[object]:
+        """The fields as they are put into MessagePack."""
+        return [self.number, self.share, self.duration_ns]
+
+    @classmethod
+    def decode(cls, value: object) -> Self:
+        """The payload from MessagePack. Raises DatagramRejectedError."""
+        return cls(*map(_decode_number, _decode_list(value, 3)))
+
+
+Payload = Ping | Ack | PingRequest | Pull | ViewChunk | Rejected | LeaseRequest | LeaseGrant
+
+PAYLOADS: dict[MessageKind, type[Payload]] = {
+    payload.KIND: payload
+    for payload in (Ping, Ack, PingRequest, Pull, ViewChunk, Rejected, LeaseRequest, LeaseGrant)
+}
+
+
+class Message(NamedTuple):
+    """A datagram as it is decoded."""
+
+    sender: MemberUpdate
+    sequence: int
+    payload: Payload
+    updates: list[MemberUpdate]
+
 
+class EncodedDatagram(NamedTuple):
+    """A datagram and how many of the updates offered are in it."""
 
-def entry(parts):
-    """The entry that these parts are."""
-    if type(parts) is not list or len(parts) != 7:
-        raise Refused("shape")
-    name, place, *numbers = parts
-    if type(name) is not str or not 0 < len(name.encode()) <= LONGEST_NAME:
-        raise Refused("shape")
-    if any(type(number) is not int or not 0 <= number <= MOST for number in numbers) or numbers[2] > 3:
-        raise Refused("shape")
-    life, count, status, order, by = numbers
-    return Entry(name, unpacked(place), life, count, Status(status), order, by)
+    data: bytes
+    update_count: int
 
 
-def entries(parts):
-    return [entry(one) for one in parts]
+def fleet_tag(fleet: str) -> bytes:
+    """What stands for the fleet's name in each datagram."""
+    return blake2b(fleet.encode(), digest_size=FLEET_TAG_BYTES).digest()
 
 
 class Codec:
-    def __init__(self, fleet, keys, size):
-        self.tag, self.keys, self.size = tag(fleet), keys, size
-
-    def _sign(self, key, body):
-        return blake2b(self.tag + body, key=key, digest_size=SIGNATURE).digest()
-
-    def pack(self, sender, sequence, kind, arguments, news, size=None):
-        """A datagram of at most `size` bytes with as much of the news as fits, and how much that was.
-
-        `news` are entries, what matters most first; those of a PIECE are its second argument's."""
-        size, arguments = min(size or self.size, self.size), list(arguments)
-        into = arguments[1] if kind is Kind.PIECE else []
-        rest = [] if kind is Kind.PIECE else into
-        tree = [*sender.pack()[:4], sender.order, sequence, int(kind), arguments, rest]
-        room = size - HEAD - len(msgpack.packb(tree)) - 2  # the list's own head may grow by two
-        room -= LONGEST_NAME + 1 if kind is Kind.PIECE else 0  # the next cursor
-        taken = 0
-        for one in news:
-            parts = one.pack()
-            room -= len(msgpack.packb(parts))
-            if room < 0:
+    """Encodes, signs, checks and decodes the datagrams of one fleet."""
+
+    def __init__(self, fleet: str, keys: Sequence[bytes], max_bytes: int) -> None:
+        """The first of the keys signs, all of them are accepted."""
+        self.keys = keys
+        self._tag = fleet_tag(fleet)
+        self._max_bytes = max_bytes
+
+    def sign(self, key: bytes, body: bytes) -> bytes:
+        """The signature of a body by this key."""
+        return blake2b(self._tag + body, key=key, digest_size=SIGNATURE_BYTES).digest()
+
+    def encode(
+        self,
+        sender: MemberUpdate,
+        sequence: int,
+        payload: Payload,
+        updates: Sequence[MemberUpdate] = (),
+        max_bytes: int | None = None,
+    ) -> EncodedDatagram:
+        """A datagram of at most `max_bytes` with as many of the updates as fit, the first ones first.
+
+        Of a ViewChunk as many members are taken as fit, and no updates; the next cursor is set to match.
+        """
+        max_bytes = min(max_bytes or self._max_bytes, self._max_bytes)
+        offered = updates
+        if isinstance(payload, ViewChunk):
+            offered = payload.members
+            payload = ViewChunk(payload.next_cursor, ())
+        fields = payload.encode()
+        included: list[object] = []
+        tree = [*sender.encode()[:4], sender.removal_version, sequence, int(payload.KIND), fields, included]
+        free_bytes = (
+            max_bytes - HEADER_BYTES - len(msgpack.packb(tree)) - 2
+        )  # a list's header may grow by two
+        if isinstance(payload, ViewChunk):
+            free_bytes -= MAX_NAME_BYTES + 1  # the next cursor
+        for update in offered:
+            encoded = update.encode()
+            free_bytes -= len(msgpack.packb(encoded))
+            if free_bytes < 0:
                 break
-            into.append(parts)
-            taken += 1
-        if kind is Kind.PIECE and taken < len(news):
-            arguments[0] = news[taken - 1].name if taken else arguments[0]
+            included.append(encoded)
+        count = len(included)
+        if isinstance(payload, ViewChunk):
+            cursor = offered[count - 1].name if 0 < count < len(offered) else payload.next_cursor
+            tree[-2:] = [[cursor, included], []]
         body = msgpack.packb(tree)
-        return bytes([FORM]) + self.tag + self._sign(self.keys[0], body) + body, taken
-
-    def unpack(self, data):
-        if len(data) > self.size:
-            raise Refused("long")
-        if len(data) <= HEAD or data[0] != FORM:
-            raise Refused("form")
-        if data[1 : 1 + TAG] != self.tag:
-            raise Refused("fleet")
-        signature, body = data[1 + TAG : HEAD], data[HEAD:]
-        if not any(hmac.compare_digest(self._sign(key, body), signature) for key in self.keys):
-            raise Refused("key")
-        try:
-            tree = msgpack.unpackb(body)
-            name, place, life, count, order, sequence, kind, arguments, news = tree
-            kinds = ARGUMENTS[kind]
-        except (ValueError, TypeError, KeyError, msgpack.UnpackException):
-            raise Refused("shape") from None
-        if type(arguments) is not list or tuple(map(type, arguments)) != kinds or type(news) is not list:
-            raise Refused("shape")
-        if type(sequence) is not int or not 0 < sequence <= MOST:
-            raise Refused("shape")
-        if any(type(one) is int and not 0 <= one <= MOST for one in arguments):
-            raise Refused("shape")
-        sender = entry([name, place, life, count, 0, order, 0])
-        if kind == Kind.PIECE:
-            arguments[1] = entries(arguments[1])
-        elif kind == Kind.ASK:
-            arguments[1] = unpacked(arguments[1])
-        return Message(sender, sequence, Kind(kind), arguments, entries(news))
-
-
-class Window:
-    """Takes each sequence number of a life once, and no older life."""
-
-    __slots__ = ("life", "top", "seen")
-
-    def __init__(self):
-        self.life, self.top, self.seen = -1, 0, 0
-
-    def take(self, life, sequence):
-        if life < self.life:
-            raise Refused("old")
-        if life > self.life:
-            self.life, self.top, self.seen = life, 0, 0
-        if sequence > self.top:
-            self.seen = (self.seen << min(WINDOW, sequence - self.top) | 1) & ((1 << WINDOW) - 1)
-            self.top = sequence
-            return
-        bit = 1 << (self.top - sequence)
-        if self.top - sequence >= WINDOW or self.seen & bit:
-            raise Refused("replay")
-        self.seen |= bit
+        data = bytes([FORMAT_VERSION]) + self._tag + self.sign(self.keys[0], body) + body
+        return EncodedDatagram(data, count)
+
+    def decode(self, data: bytes) -> Message:
+        """The message in a datagram. Raises DatagramRejectedError."""
+        if len(data) > self._max_bytes:
+            raise DatagramRejectedError(RejectReason.TOO_LONG)
+        if len(data) <= HEADER_BYTES or data[0] != FORMAT_VERSION:
+            raise DatagramRejectedError(RejectReason.FORMAT)
+        if data[1 : 1 + FLEET_TAG_BYTES] != self._tag:
+            raise DatagramRejectedError(RejectReason.OTHER_FLEET)
+        signature, body = data[1 + FLEET_TAG_BYTES : HEADER_BYTES], data[HEADER_BYTES:]
+        if not any(hmac.compare_digest(self.sign(key, body), signature) for key in self.keys):
+            raise DatagramRejectedError(RejectReason.BAD_SIGNATURE)
+        return _decode_body(body)
+
+
+def _decode_body(body: bytes) -> Message:
+    try:
+        name, address, incarnation, refutations, removal_version, *rest = msgpack.unpackb(body)
+        sequence, kind, fields, updates = rest
+        payload_type = PAYLOADS[kind]
+    except (ValueError, TypeError, KeyError, msgpack.UnpackException):
+        raise _malformed() from None
+    if _decode_number(sequence) == 0:
+        raise _malformed()
+    return Message(
+        sender=MemberUpdate.decode([name, address, incarnation, refutations, 0, removal_version, 0]),
+        sequence=sequence,
+        payload=payload_type.decode(fields),
+        updates=_decode_updates(updates),
+    )
--- a/tests/golden/test_golden_swim.py
+++ b/tests/golden/test_golden_swim.py
@@ -14,14 +14,28 @@
 
 from hopsail.membership import Membership, node
 from hopsail.membership.identity import Identity, decode, encode
+from hopsail.net import udp
 from hopsail.swim import faults
-from hopsail.swim.protocol import Core
-from hopsail.swim.heartbeat import Heartbeat
-from hopsail.swim.incarnation import Life
-from hopsail.swim.quota_leases import Holder, Steward
-from hopsail.swim.settings import MS, SECOND, Rules
-from hopsail.swim.simulation import Sim
-from hopsail.swim.wire import PAD, Codec, Entry, Kind, Status, packed
+from hopsail.swim.protocol import SwimProtocol
+from hopsail.swim.heartbeat import HeartbeatProtocol
+from hopsail.swim.incarnation import IncarnationStore
+from hopsail.swim.quota_leases import QuotaLeaseClient, QuotaLeaseServer
+from hopsail.swim.settings import MS, SECOND, SwimSettings
+from hopsail.swim.simulation import SimulatedFleet
+from hopsail.swim.wire import (
+    Ack,
+    Codec,
+    LeaseGrant,
+    LeaseRequest,
+    MemberStatus,
+    MemberUpdate,
+    MessageKind,
+    Ping,
+    PingRequest,
+    Pull,
+    Rejected,
+    ViewChunk,
+)
 
 DATA = Path(__file__).parents[1] / "data" / "golden" / "swim"
 KEY = bytes(range(32))
@@ -35,62 +49,58 @@
 # Datagrams.
 
 
-def member_entry(number, status=0, order=0, by=0):
-    return Entry(
-        f"m{number}", (f"10.0.{number}.1", 7000 + number), 5 + number, number, Status(status), order, by
-    )
+def member_update(number, status=0, removal_version=0, suspected_by=0):
+    address = f"10.0.{number}.1", 7000 + number
+    status = MemberStatus(status)
+    return MemberUpdate(f"m{number}", address, 5 + number, number, status, removal_version, suspected_by)
 
 
 def messages():
-    """Name -> (sender, sequence, kind, arguments, updates, bound of the size) of each kind of datagram."""
-    some = [member_entry(number, number % 4, number // 2, 77 * (number % 2)) for number in range(1, 7)]
-    many = [member_entry(number) for number in range(10, 80)]
-    sender = member_entry(3, 0, 2)
+    """Name -> (sender, sequence, payload, updates) of each kind of datagram."""
+    some = [member_update(number, number % 4, number // 2, 77 * (number % 2)) for number in range(1, 7)]
+    many = [member_update(number) for number in range(10, 80)]
+    sender = member_update(3, 0, 2)
     return {
-        "ping": (sender, 1, Kind.PING, [9, 0xFFFFFFFF, PAD], []),
-        "ping with updates": (sender, 2**40, Kind.PING, [2**62, 1, PAD], some),
-        "ping with more updates than fit": (sender, 3, Kind.PING, [1, 1, PAD], many),
-        "ack": (sender, 4, Kind.ACK, [9, 17], some[:1]),
-        "ping request": (sender, 5, Kind.ASK, [9, packed(("10.9.8.7", 65535))], some[:2]),
-        "pull": (sender, 6, Kind.PULL, ["m11", bytes(40)], []),
-        "view whole": (sender, 7, Kind.PIECE, ["", []], some),
-        "view in chunks": (sender, 8, Kind.PIECE, ["", []], many),
-        "refused": (sender, 9, Kind.REFUSED, ["life"], some[:1]),
-        "claim": (sender, 10, Kind.CLAIM, [3, PAD], []),
-        "grant": (sender, 11, Kind.GRANT, [3, 250_000_000, 6 * SECOND], []),
+        "ping": (sender, 1, Ping(9, 0xFFFFFFFF), []),
+        "ping with updates": (sender, 2**40, Ping(2**62, 1), some),
+        "ping with more updates than fit": (sender, 3, Ping(1, 1), many),
+        "ack": (sender, 4, Ack(9, 17), some[:1]),
+        "ping request": (sender, 5, PingRequest(9, ("10.9.8.7", 65535)), some[:2]),
+        "pull": (sender, 6, Pull("m11", bytes(40)), []),
+        "view whole": (sender, 7, ViewChunk("", some), []),
+        "view in chunks": (sender, 8, ViewChunk("", many), []),
+        "refused": (sender, 9, Rejected("life"), some[:1]),
+        "claim": (sender, 10, LeaseRequest(3), []),
+        "grant": (sender, 11, LeaseGrant(3, 250_000_000, 6 * SECOND), []),
     }
 
 
 def encoded_messages():
     codec = Codec("golden", (KEY,), 512)
     found = {}
-    for name, (sender, sequence, kind, arguments, updates) in messages().items():
-        data, taken = codec.pack(sender, sequence, kind, arguments, updates)
+    for name, (sender, sequence, payload, updates) in messages().items():
+        data, taken = codec.encode(sender, sequence, payload, updates)
         found[name] = [data.hex(), taken]
     return found
 
 
 def test_each_kind_of_datagram_is_encoded_to_the_golden_bytes():
     assert encoded_messages() == stored("datagrams.json")
-    assert {kind for _, _, kind, _, _ in messages().values()} == set(Kind)
+    assert {payload.KIND for _, _, payload, _ in messages().values()} == set(MessageKind)
 
 
 def test_golden_datagrams_are_decoded_and_encoded_again_to_the_same_bytes():
     codec = Codec("golden", (KEY,), 512)
     for data, taken in stored("datagrams.json").values():
-        message = codec.unpack(bytes.fromhex(data))
-        arguments, updates = list(message.arguments), message.news
-        if message.kind is Kind.ASK:
-            arguments[1] = packed(arguments[1])
-        elif message.kind is Kind.PIECE:
-            updates = arguments[1]
-            # A cursor is set by the encoder where entries are left over: one more that cannot fit.
-            more = (
-                [Entry("n" * 32, OWN, 2**62, 2**62, Status.ALIVE, 2**62, 2**62)] * 9 if arguments[0] else []
-            )
-            arguments, updates = ["", []], updates + more
+        message = codec.decode(bytes.fromhex(data))
+        payload, updates = message.payload, message.updates
+        if isinstance(payload, ViewChunk):
+            updates = payload.members
+            # A cursor is set by the encoder where members are left over: one more that cannot fit.
+            long = MemberUpdate("n" * 32, OWN, 2**62, 2**62, MemberStatus.ALIVE, 2**62, 2**62)
+            payload = ViewChunk("", [*updates, *([long] * 9 if payload.next_cursor else [])])
         assert len(updates) >= taken
-        assert codec.pack(message.sender, message.sequence, message.kind, arguments, updates)[0].hex() == data
+        assert codec.encode(message.sender, message.sequence, payload, message.updates)[0].hex() == data
 
 
 # Names on the wire.
@@ -125,13 +135,13 @@
 
 def test_the_incarnation_file_has_the_golden_bytes_and_is_read_by_the_next_start(tmp_path):
     golden = stored("incarnation_file.json")
-    first = Life(str(tmp_path), "b0", 1_700_000_000_000)
-    first.keep(1_700_000_000_009, [("10.0.0.1", 7), ("10.0.0.2", 65535)])
+    first = IncarnationStore(str(tmp_path), "b0", 1_700_000_000_000)
+    first.save(1_700_000_000_009, [("10.0.0.1", 7), ("10.0.0.2", 65535)])
     (path,) = tmp_path.iterdir()
     assert [path.name, path.read_bytes().hex()] == golden["written"]
     path.write_bytes(bytes.fromhex(golden["written"][1]))
-    again = Life(str(tmp_path), "b0", 5)
-    assert [again.number, [list(place) for place in again.places], again.fault] == golden["read"]
+    again = IncarnationStore(str(tmp_path), "b0", 5)
+    assert [again.incarnation, [list(address) for address in again.addresses], again.error] == golden["read"]
     assert path.read_bytes().hex() == golden["after the next start"]
 
 
@@ -148,110 +158,131 @@
         self.hash.update(msgpack.packb(values))
 
 
-class HashedSim(Sim):
+class HashedFleet(SimulatedFleet):
     """A simulated fleet whose datagrams are hashed as they are sent."""
 
     def __init__(self, *arguments, **more):
         self.history = Hashed()
         super().__init__(*arguments, **more)
 
-    def _carry(self, process, place, data):
-        self.history.add(self.clock, process.name, list(place), data)
-        super()._carry(process, place, data)
+    def _carry(self, process, address, data):
+        self.history.add(self.clock_ns, process.name, list(address), data)
+        super()._carry(process, address, data)
 
-    def look(self):
-        rows = super().look()
-        self.history.add(self.clock, json.dumps(rows, sort_keys=True))
-        return rows
+    def snapshots(self):
+        views = super().snapshots()
+        self.history.add(self.clock_ns, json.dumps(views, sort_keys=True))
+        return views
 
 
-def simulated(core, members, seed, kinds, count, **more):
-    fleet = HashedSim(members, seed=seed, core=core, **more)
+def simulated(protocol, members, seed, kinds, count, **more):
+    fleet = HashedFleet(members, seed=seed, protocol=protocol, **more)
     judge = faults.play(fleet, faults.draw(seed, fleet.names, count, kinds))
     fleet.history.add(json.dumps(judge.figures(), sort_keys=True))
     return fleet.history.hash.hexdigest()
 
 
-def driven_core(seed):
-    """A core given random messages of all kinds, some of them late, twice or damaged, and irregular ticks."""
+def random_sender(random):
+    return MemberUpdate(
+        f"m{random.randrange(8)}", (f"10.0.0.{random.choice((2, 3, 4))}", 7000),
+        random.choice((5, 5, 5, 6, 7)), random.randrange(3), MemberStatus.ALIVE,
+        random.choice((0, 0, 0, 0, 1, 2)),
+    )  # fmt: skip
+
+
+def random_update(random):
+    return MemberUpdate(
+        random.choice(("b0", *(f"m{i}" for i in range(9)))), (f"10.0.0.{random.choice((2, 3))}", 7000),
+        random.choice((5, 6, 1000, 1001)), random.randrange(4), MemberStatus(random.randrange(4)),
+        random.choice((0, 0, 0, 0, 1, 2)), random.randrange(5),
+    )  # fmt: skip
+
+
+def driven_protocol(seed):
+    """A member given random messages of all kinds, some late, twice or damaged, and irregular ticks."""
     random, history = Random(f"golden/{seed}"), Hashed()
-    rules = Rules(name="b0", fleet="golden", listen=OWN, place=OWN, keys=(KEY,), seeds=(("10.0.0.9", 7000),),
-                  stewards=("b0", "m1"), size=random.choice((256, 512, 1400)))  # fmt: skip
-    core, codec, now = Core(rules, Random(seed), 0, 1000), Codec("golden", (KEY,), 1400), 0
+    settings = SwimSettings(
+        name="b0", fleet="golden", listen_address=OWN, advertised_address=OWN, keys=(KEY,),
+        seeds=(("10.0.0.9", 7000),), lease_servers=("b0", "m1"),
+        max_datagram_bytes=random.choice((256, 512, 1400)),
+    )  # fmt: skip
+    protocol, codec, now = SwimProtocol(settings, Random(seed), 0, 1000), Codec("golden", (KEY,), 1400), 0
     sequence, seen = 0, []
     for step in range(600):
         now += random.choice((1 * MS, 20 * MS, 300 * MS, 1200 * MS, 9000 * MS if step % 97 == 0 else 50 * MS))
         for _ in range(random.randrange(4)):
             sequence += 1
-            sender = Entry(f"m{random.randrange(8)}", (f"10.0.0.{random.choice((2, 3, 4))}", 7000),
-                           random.choice((5, 5, 5, 6, 7)), random.randrange(3), Status.ALIVE,
-                           random.choice((0, 0, 0, 0, 1, 2)))  # fmt: skip
-            kind = random.choice(list(Kind))
-            number = random.choice((core_serial(core), core_serial(core) - 1, random.randrange(50)))
-            arguments = {
-                Kind.PING: [max(0, number), random.randrange(9), PAD], Kind.ACK: [max(0, number), 5],
-                Kind.ASK: [number, packed(("10.0.0.4", 7000))], Kind.PULL: ["m2", bytes(60)],
-                Kind.PIECE: [random.choice(("", "m3")), []], Kind.REFUSED: ["removed"],
-                Kind.CLAIM: [number, PAD], Kind.GRANT: [random.randrange(9), 10**8, 2 * SECOND],
-            }[kind]  # fmt: skip
-            updates = [
-                Entry(random.choice(("b0", *(f"m{i}" for i in range(9)))),
-                      (f"10.0.0.{random.choice((2, 3))}", 7000),
-                      random.choice((5, 6, 1000, 1001)), random.randrange(4), Status(random.randrange(4)),
-                      random.choice((0, 0, 0, 0, 1, 2)), random.randrange(5))
-                for _ in range(random.randrange(5))
-            ]  # fmt: skip
-            seen.append(codec.pack(sender, sequence, kind, arguments, updates, rules.size)[0])
+            sender = random_sender(random)
+            kind = random.choice(list(MessageKind))
+            last = last_request_number(protocol)
+            number = random.choice((last, last - 1, random.randrange(50)))
+            payload = {
+                MessageKind.PING: Ping(max(0, number), random.randrange(9)),
+                MessageKind.ACK: Ack(max(0, number), 5),
+                MessageKind.PING_REQUEST: PingRequest(number, ("10.0.0.4", 7000)),
+                MessageKind.PULL: Pull("m2", bytes(60)),
+                MessageKind.VIEW_CHUNK: random.choice(("", "m3")),
+                MessageKind.REJECTED: Rejected("removed"),
+                MessageKind.LEASE_REQUEST: LeaseRequest(number),
+                MessageKind.LEASE_GRANT: LeaseGrant(random.randrange(9), 10**8, 2 * SECOND),
+            }[kind]
+            updates = [random_update(random) for _ in range(random.randrange(5))]
+            if kind is MessageKind.VIEW_CHUNK:
+                payload = ViewChunk(payload, updates)
+            seen.append(codec.encode(sender, sequence, payload, updates, settings.max_datagram_bytes)[0])
             data = random.choice((seen[-1], seen[-1], seen[-1], random.choice(seen)))
-            core.received(now, faults.spoilt(data, random, 0.05)[0])
-        if now >= core.due:
-            core.tick(now)
+            protocol.receive(now, faults.corrupt(data, random, 0.05)[0])
+        if now >= protocol.next_tick_ns:
+            protocol.tick(now)
         if step % 150 == 140:
-            core.remove("m3")
+            protocol.remove("m3")
         if step % 150 == 148:
-            core.admit("m3")
-        out, core.out = core.out, []
-        for place, data in out:
-            history.add(now, list(place), data)
-        history.add(core.due, core.changed, sorted(core.counts.items()), json.dumps(core.shown(now)))
-    core.leave(now)
-    for place, data in core.out:
-        history.add(now, list(place), data)
+            protocol.admit("m3")
+        for address, data in protocol.take_datagrams():
+            history.add(now, list(address), data)
+        counts = sorted(protocol.counts.items())
+        view = json.dumps(protocol.snapshot(now))
+        history.add(protocol.next_tick_ns, protocol.members.version, counts, view)
+    protocol.leave(now)
+    for address, data in protocol.take_datagrams():
+        history.add(now, list(address), data)
     return history.hash.hexdigest()
 
 
-def core_serial(core):
-    return max(0, core.serial)
+def last_request_number(protocol):
+    return max(0, protocol.outbox.last_number)
 
 
 def quota_shares(seed):
-    """Steward and holders of quota shares, with answers that are lost, late or twice."""
+    """Lease servers and clients of quota shares, with answers that are lost, late or twice."""
     random, history = Random(f"shares/{seed}"), Hashed()
     names = [f"b{number}" for number in range(5)]
-    rules = Rules(name="b0", fleet="golden", listen=OWN, place=OWN, keys=(KEY,), stewards=("b0", "b1"),
-                  lease=2 * SECOND)  # fmt: skip
-    stewards = {name: Steward(rules, 0) for name in rules.stewards}
-    holders = {name: Holder(rules, 0) for name in names}
-    for holder in holders.values():
-        holder.balancers = len(names)
+    settings = SwimSettings(
+        name="b0", fleet="golden", listen_address=OWN, advertised_address=OWN, keys=(KEY,),
+        lease_servers=("b0", "b1"), lease_ns=2 * SECOND,
+    )  # fmt: skip
+    servers = {name: QuotaLeaseServer(settings, 0) for name in settings.lease_servers}
+    clients = {name: QuotaLeaseClient(settings, 0) for name in names}
+    for client in clients.values():
+        client.balancers = len(names)
     late = []
     for now in range(0, 30 * SECOND, SECOND // 10):
-        for name, holder in holders.items():
-            for steward, serial in holder.claims(now):
-                granted, lasts = stewards[steward].claim(now, name)
-                history.add(now, name, steward, serial, granted, lasts)
+        for name, client in clients.items():
+            for server, number in client.requests_due(now):
+                grant = servers[server].grant(now, name)
+                history.add(now, name, server, number, grant.share, grant.duration_ns)
                 for _ in range(random.choice((0, 1, 1, 2))):
-                    late.append((now + random.randrange(SECOND), name, steward, serial, granted, lasts))
+                    late.append((now + random.randrange(SECOND), name, server, number, grant))
         for due in [one for one in late if one[0] <= now]:
             late.remove(due)
-            holders[due[1]].granted(now, *due[2:])
+            clients[due[1]].handle_grant(*due[2:])
         if random.random() < 0.02:
             name = random.choice(names)
-            holders[name] = Holder(rules, now)
-            holders[name].balancers = len(names)
-        for name, holder in holders.items():
-            history.add(name, holder.due(now), holder.units(now), holder.part(now))
-        history.add([steward.out(now) for steward in stewards.values()])
+            clients[name] = QuotaLeaseClient(settings, now)
+            clients[name].balancers = len(names)
+        for name, client in clients.items():
+            history.add(name, client.next_due(now), client.leased_units(now), client.share(now))
+        history.add([server.outstanding(now) for server in servers.values()])
     return history.hash.hexdigest()
 
 
@@ -270,14 +301,17 @@
 def nodes(monkeypatch):
     """Processes of the system that join, are cut off, restart under a clock stepped back, and leave."""
     world = HashedWorld()
-    monkeypatch.setattr(node.socket, "socket", world.socket)
+    monkeypatch.setattr(udp.socket, "socket", world.socket)
     monkeypatch.setattr(node, "time_ns", lambda: world.time_of_day)
     seeds = [(f"10.0.0.{number}", 7640) for number in (1, 2, 3)]
 
     def start(number):
         role = "controlplane" if number <= 3 else "dataplane"
-        return Membership(world, name=f"edge-zone-a-{number}", role=role, zone="zone-a", fleet="golden",
-                          address=(f"10.0.0.{number}", 7640), seeds=seeds, seed=f"s{number}")  # fmt: skip
+        settings = node.MembershipSettings(
+            identity=Identity(role, "zone-a", f"edge-zone-a-{number}"), fleet="golden",
+            address=(f"10.0.0.{number}", 7640), seeds=seeds, seed=f"s{number}",
+        )  # fmt: skip
+        return Membership(world, settings)
 
     def decided():
         for member in members:
@@ -310,18 +344,24 @@
 # `half` starts members in the order of a set, which differs from process to process.
 REPEATABLE = tuple(kind for kind in faults.KINDS if kind != "half")
 
+SMALL, LEASED = {"max_datagram_bytes": 256}, {"lease_servers": 3}
+
 HISTORIES = {
-    "every fault": lambda: simulated(Core, 5, 1, REPEATABLE, 6),
-    "every fault, small datagrams": lambda: simulated(Core, 6, 2, REPEATABLE, 6, size=256),
-    "every fault, with loss": lambda: simulated(Core, 4, 3, REPEATABLE, 5, loss=0.1),
-    "partitions": lambda: simulated(Core, 7, 4, ("cut", "chain", "oneway"), 4),
-    "duplicate names": lambda: simulated(Core, 4, 5, ("twin", "move"), 4),
-    "crashes, with quota shares": lambda: simulated(Core, 6, 6, ("kill", "stop", "bounce"), 4, stewards=3),
-    "large fleet": lambda: simulated(Core, 30, 7, ("kill", "leave"), 1),
-    "all-to-all heartbeat": lambda: simulated(Heartbeat, 5, 8, ("kill", "loss"), 2),
-    "core given random messages 1": lambda: driven_core(1),
-    "core given random messages 2": lambda: driven_core(2),
-    "core given random messages 3": lambda: driven_core(3),
+    "every fault": lambda: simulated(SwimProtocol, 5, 1, REPEATABLE, 6),
+    "every fault, small datagrams": lambda: simulated(
+        SwimProtocol, 6, 2, REPEATABLE, 6, max_datagram_bytes=256
+    ),
+    "every fault, with loss": lambda: simulated(SwimProtocol, 4, 3, REPEATABLE, 5, loss=0.1),
+    "partitions": lambda: simulated(SwimProtocol, 7, 4, ("cut", "chain", "oneway"), 4),
+    "duplicate names": lambda: simulated(SwimProtocol, 4, 5, ("twin", "move"), 4),
+    "crashes, with quota shares": lambda: simulated(
+        SwimProtocol, 6, 6, ("kill", "stop", "bounce"), 4, lease_servers=3
+    ),
+    "large fleet": lambda: simulated(SwimProtocol, 30, 7, ("kill", "leave"), 1),
+    "all-to-all heartbeat": lambda: simulated(HeartbeatProtocol, 5, 8, ("kill", "loss"), 2),
+    "core given random messages 1": lambda: driven_protocol(1),
+    "core given random messages 2": lambda: driven_protocol(2),
+    "core given random messages 3": lambda: driven_protocol(3),
     "quota shares 1": lambda: quota_shares(1),
     "quota shares 2": lambda: quota_shares(2),
 }
--- a/tests/test_membership.py
+++ b/tests/membership/test_membership_node.py
@@ -9,8 +9,9 @@
 
 from hopsail.membership import Membership, node
 from hopsail.membership.identity import HASH_MARK, Identity, decode, encode
-from hopsail.swim.settings import LONGEST_NAME, MS, SECOND
-from hopsail.swim.simulation import Sim
+from hopsail.net import udp
+from hopsail.swim.settings import MAX_NAME_BYTES, MS, SECOND
+from hopsail.swim.simulation import SimulatedFleet
 
 HEARTBEAT = 1200 * MS
 PORT = 7640
@@ -19,7 +20,7 @@
 @pytest.fixture
 def world(monkeypatch):
     made = World()
-    monkeypatch.setattr(node.socket, "socket", made.socket)
+    monkeypatch.setattr(udp.socket, "socket", made.socket)
     monkeypatch.setattr(node, "time_ns", lambda: made.time_of_day)
     return made
 
@@ -28,11 +29,11 @@
     return f"10.0.0.{number}", PORT
 
 
-def start(world, number, role="dataplane", **more):
+def start(world, number, role="dataplane", on_change=None, **more):
     given = {"fleet": "f", "seeds": [address(1), address(2), address(3)], "seed": f"s{number}"} | more
-    return Membership(
-        world, name=f"edge-zone-a-{number}", role=role, zone="zone-a", address=address(number), **given
-    )
+    identity = Identity(role, "zone-a", f"edge-zone-a-{number}")
+    settings = node.MembershipSettings(identity=identity, address=address(number), **given)
+    return Membership(world, settings, on_change)
 
 
 def fleet(world, control=3, data=4):
@@ -58,7 +59,7 @@
 )
 def test_role_zone_and_node_travel_whole_in_the_name(role, zone, name):
     identity = Identity(role, zone, name)
-    assert len(encode(identity).encode()) <= LONGEST_NAME and decode(encode(identity)) == identity
+    assert len(encode(identity).encode()) <= MAX_NAME_BYTES and decode(encode(identity)) == identity
 
 
 def test_every_identity_has_a_name_that_fits_and_is_its_own():
@@ -68,7 +69,7 @@
         parts = ("".join(random.choices(letters, k=random.randrange(0, 40))) for _ in range(3))
         identity = Identity(*parts)
         name = encode(identity)
-        assert 0 < len(name.encode()) <= LONGEST_NAME
+        assert 0 < len(name.encode()) <= MAX_NAME_BYTES
         assert seen.setdefault(name, identity) == identity
         assert all(
             got == given or got.startswith(HASH_MARK)
@@ -179,7 +180,7 @@
         members.insert(3, again)
         world.run(1.2)
         assert again.joined and len(again.alive("controlplane")) == 3
-        assert again.core.life > gone.core.life
+        assert again.incarnation > gone.incarnation
         world.run(5)
         for member in members:
             assert again.address in living(member, "dataplane")
@@ -194,7 +195,7 @@
     other = start(world, 9, "controlplane", seeds=[])
     world.run(10)
     assert not lost.joined
-    lost.renew_seeds([address(9), lost.address])
+    lost.replace_seeds([address(9), lost.address])
     world.run(2)
     assert lost.joined and living(lost, "controlplane") == {other.address}
 
@@ -244,14 +245,16 @@
 
 def test_a_fleet_of_73_costs_each_member_under_200_bytes_a_second():
     """The links are 5 Mbit/s: 625,000 bytes a second."""
-    sim = Sim(73, seed=3, period=1.2, size=node.DATAGRAM)
+    sim = SimulatedFleet(73, seed=3, period=1.2, max_datagram_bytes=node.MAX_DATAGRAM_BYTES)
     sim.run(12)
-    assert all(len(row["alive"]) == 73 for row in sim.look().values())
-    assert max(process.bytes for process in sim.processes.values()) / 12 < 20_000  # seeds, while all join
+    assert all(len(row["alive"]) == 73 for row in sim.snapshots().values())
+    assert (
+        max(process.sent_bytes for process in sim.processes.values()) / 12 < 20_000
+    )  # seeds, while all join
     sim.run(48)
-    before = {name: process.bytes for name, process in sim.processes.items()}
+    before = {name: process.sent_bytes for name, process in sim.processes.items()}
     sim.run(24)
-    assert max(process.bytes - before[name] for name, process in sim.processes.items()) / 24 < 200
+    assert max(process.sent_bytes - before[name] for name, process in sim.processes.items()) / 24 < 200
 
 
 def test_a_program_that_joins_imports_nothing_heavy():
--- a/tests/simulation/substitutes.py
+++ b/tests/simulation/substitutes.py
@@ -15,6 +15,7 @@
 from hopsail.membership import node
 from hopsail.net import log
 from hopsail.net.loop import Loop
+from hopsail.net.udp import DatagramSocket
 from hopsail.replication.disk_thread import DiskThread
 from hopsail.replication.storage import Storage
 from hopsail.rpc.channel import Channel
@@ -46,8 +47,9 @@
     return SimulatedDiskThread(storage, clock, running.machine)
 
 
-def _bound(membership) -> SimulatedSocket:
-    return SimulatedSocket(membership.loop, membership.address)
+class _SimulatedDatagramSocket(DatagramSocket):
+    def _bind(self, address):
+        return SimulatedSocket(self._loop, address)
 
 
 SUBSTITUTES: list[tuple[object, object]] = [
@@ -96,7 +98,7 @@
     """Simulated doors are in place inside of the block."""
     changed = [(module, name, vars(module)[name], substitute) for module, name, substitute in _names()]
     changed.append((node, "time_ns", node.time_ns, lambda: running.machine.time_of_day()))
-    changed.append((node.Membership, "_bound", node.Membership._bound, _bound))
+    changed.append((node, "DatagramSocket", DatagramSocket, _SimulatedDatagramSocket))
     sink = log._logger
     for module, name, _, substitute in changed:
         setattr(module, name, substitute)
--- a/tests/test_mesh.py
+++ b/tests/swim/test_swim_mesh.py
@@ -61,8 +61,8 @@
         judge.forget("b3")
         mesh.start("b3")
         mesh.run(1.5)
-        assert all("b3" not in row["alive"] for name, row in mesh.look().items() if name in rest)
-    assert mesh.look()["b3"]["refused_as"] == "removed"
+        assert all("b3" not in row["alive"] for name, row in mesh.snapshots().items() if name in rest)
+    assert mesh.snapshots()["b3"]["refused_as"] == "removed"
     assert mesh.ask(b"admit-peer b3", ["b1"]) == {"b1": "done"}
     assert judge.settle(mesh.names, why="admitted"), judge.violations
 
@@ -70,11 +70,11 @@
 def test_parts_follow_who_lives_and_never_pass_the_whole(fleet):
     mesh, judge = fleet
     mesh.run(3)
-    assert all(abs(row["part"] - 0.2) < 1e-6 for row in mesh.look().values())
+    assert all(abs(row["part"] - 0.2) < 1e-6 for row in mesh.snapshots().values())
     for name in ("b3", "b4"):
         mesh.kill(name)
     mesh.run(3.5)
-    rows = mesh.look()
+    rows = mesh.snapshots()
     assert all(abs(row["part"] - (0.1 + 0.5 / 3)) < 1e-3 for row in rows.values()), rows
     for name in ("b3", "b4"):
         judge.forget(name)
@@ -82,7 +82,7 @@
     for _ in range(15):
         mesh.run(0.15)
         # Each was asked at another moment: what is dealt anew between two answers may show in both.
-        assert sum(row["part"] for row in mesh.look().values()) <= 1.2
+        assert sum(row["part"] for row in mesh.snapshots().values()) <= 1.2
     assert judge.settle(mesh.names)
 
 
@@ -94,7 +94,7 @@
         for name in mesh.names:
             mesh.rekey(name, keys)
             mesh.run(0.1)
-            assert all(len(row["alive"]) == 5 for row in judge.look().values())
+            assert all(len(row["alive"]) == 5 for row in judge.observe().values())
         assert judge.settle(mesh.names), judge.violations
     assert all("refused_key" not in text for text in mesh.ask(b"show-stat").values())
 
