--- a/benchmarks/fleet_costs.py
+++ b/benchmarks/fleet_costs.py
@@ -423,7 +423,7 @@
         ),
         "kept parts": lambda: [
             Change(
-                Topic.KEPT,
+                Topic.PREFIX_CACHE,
                 f"instance-{n % max(SIZES):06d} salt-{n % KEPT_SALTS} {n * 2654435761:016x}",
                 b"800",
             )
@@ -490,7 +490,9 @@
         "nothing": [],
         "one route and the revision": patch,
         "one instance": instance_changes([instance(1)]),
-        "one kept part": [Change(Topic.KEPT, "instance-000001 9c41d07be2a35f68 5c1e07a25c1e07a2", b"800")],
+        "one kept part": [
+            Change(Topic.PREFIX_CACHE, "instance-000001 9c41d07be2a35f68 5c1e07a25c1e07a2", b"800")
+        ],
     }
     for name, changes in replies.items():
         show(part="feed", what=name, changes=len(changes), bytes=len(wire(reply_of(changes))))
--- a/hopsail/controlplane/feeds.py
+++ b/hopsail/controlplane/feeds.py
@@ -4,7 +4,7 @@
 
 from ..configuration.process import ProcessSettings
 from ..feed.confirmed import ConfirmedFeeds, contact_time
-from ..feed.follower import Follower
+from ..feed.follower import Follower, Subscription
 from ..feed.journal import Change, Journal
 from ..feed.messages import PollReply, PollRequest
 from ..feed.packing import PackedResponder, Packer
@@ -41,13 +41,13 @@
         self.publisher = Publisher(journal, loop.now, settings.node_name)
         self.publisher.reply_decorator = self._decorate
         self._packer = Packer()
-        longest_ago = contact_time(settings.bounds)
+        max_age_ns = contact_time(settings.bounds)
         self.contact = MajorityContact(
-            loop, replica, channel, is_fed, longest_ago // 2, self.publisher.release
+            loop, replica, channel, is_fed, max_age_ns // 2, self.publisher.release
         )
         self.followers: dict[str, Follower] = {}
         self._confirmed = ConfirmedFeeds(
-            loop.now, longest_ago, longest_ago, lambda _, changes: handle_changes(changes)
+            loop.now, max_age_ns, max_age_ns, lambda _, changes: handle_changes(changes)
         )
 
     def poll(self, request: PollRequest, respond, peer) -> None:
@@ -79,10 +79,7 @@
             self.followers[peer] = Follower(
                 self._loop,
                 self._channel(peer),
-                self._settings.node_name,
-                ROLE,
-                self._settings.zone,
-                SOFT_TOPICS,
+                Subscription(self._settings.node_name, ROLE, self._settings.zone, SOFT_TOPICS),
                 self._confirmed.changed,
             )
         for peer in self.followers.keys() - others:
--- a/hopsail/controlplane/prefix_cache_reader.py
+++ b/hopsail/controlplane/prefix_cache_reader.py
@@ -155,7 +155,7 @@
         if change.tokens is not None and change.salt and " " not in name_text:
             source.entries.pop(key, None)
             source.entries[key] = None
-            self.journal.set(Topic.KEPT, key, str(change.tokens).encode())
+            self.journal.set(Topic.PREFIX_CACHE, key, str(change.tokens).encode())
             while len(source.entries) > self._most_entries:
                 self._remove(source, next(iter(source.entries)))
         elif key in source.entries:
@@ -175,7 +175,7 @@
 
     def _remove(self, source: _Source, key: str) -> None:
         del source.entries[key]
-        self.journal.remove(Topic.KEPT, key)
+        self.journal.remove(Topic.PREFIX_CACHE, key)
 
     def _drop(self, source: _Source) -> None:
         self.index.drop_entries(source.name)
--- a/hopsail/dataplane/controls.py
+++ b/hopsail/dataplane/controls.py
@@ -113,10 +113,10 @@
 
     def _lacks_word(self, address: Address, now: int) -> bool:
         """Whether it answers, but no majority's word is behind it, or none has been for long."""
-        return bool(self.followers[address].last_heard) and not self._has_word(address, now)
+        return bool(self.followers[address].last_reply_at) and not self._has_word(address, now)
 
     def _silent(self, address: Address, now: int) -> bool:
-        heard = self.followers[address].last_heard or self.began[address]
+        heard = self.followers[address].last_reply_at or self.began[address]
         return now - max(heard, self.began[address]) > SILENT_TIME
 
     def _leave(self, address: Address, now: int) -> None:
--- a/hopsail/dataplane/plane.py
+++ b/hopsail/dataplane/plane.py
@@ -8,7 +8,7 @@
 from ..configuration.process import ProcessSettings
 from ..event_log import get_logger
 from ..feed.confirmed import ConfirmedFeeds, contact_time
-from ..feed.follower import Follower
+from ..feed.follower import Follower, Subscription
 from ..feed.journal import Change
 from ..feed.topics import DATA_PLANE_TOPICS
 from ..http.message import Headers, Request, whole_number
@@ -79,8 +79,8 @@
         self.gates = Gates(self.loop, self.placement.capacity, lambda: self.view.balancers)
         self.in_flight: dict[Forwarding, None] = {}
         self.channels: dict[tuple[str, int], Channel] = {}
-        longest_ago = contact_time(bounds)
-        self.confirmed = ConfirmedFeeds(self.loop.now, longest_ago, longest_ago, self._apply)
+        max_age_ns = contact_time(bounds)
+        self.confirmed = ConfirmedFeeds(self.loop.now, max_age_ns, max_age_ns, self._apply)
         self.controls = ControlLinks(self.loop, settings.machine_losses, self._follow, self._left)
         self.late_log = LateLog(lambda: self.loop.now(), self.view, self.counters) if log_late else None
         self.attempts = AttemptRecords(lambda: self.loop.now(), self.placement, self.counters)
@@ -183,7 +183,10 @@
             channel = self.channels[address] = Channel(self.loop, address, FLEET)
         settings = self.settings
         return Follower(
-            self.loop, channel, settings.node_name, ROLE, settings.zone, DATA_PLANE_TOPICS, self._changes
+            self.loop,
+            channel,
+            Subscription(settings.node_name, ROLE, settings.zone, DATA_PLANE_TOPICS),
+            self._changes,
         )
 
     def _changes(self, follower: Follower, snapshot: bool, changes, reply) -> None:
--- a/hopsail/dataplane/view.py
+++ b/hopsail/dataplane/view.py
@@ -66,7 +66,7 @@
     def _entry(self, now: int, source: str, change) -> bool:
         """Takes one entry but the configuration's; whether it changes what is known of hosts."""
         topic, key, value = change
-        if topic == Topic.KEPT:
+        if topic == Topic.PREFIX_CACHE:
             self._kept(source, key, value)
         elif topic == Topic.STORE:
             self._store(source, key, value)
--- a/hopsail/feed/confirmed.py
+++ b/hopsail/feed/confirmed.py
@@ -16,50 +16,52 @@
 from .messages import PollReply
 
 MS = 1_000_000  # ns
-LEAST_CONTACT_MS = 2000  # of the times below: a poll may wait for a second, elections take almost as long
-LONGEST_STEP = 500_000_000  # ns between two ticks that are counted: longer ones, the process did not run
+MIN_CONTACT_MS = 2000  # of the times below: a poll may wait for a second, elections take almost as long
+MAX_TICK_STEP_NS = 500_000_000  # ns between two ticks that are counted: longer ones, the process did not run
 
 Apply = Callable[[Follower, list[Change]], None]
 
 
 def contact_time(bounds: Bounds) -> int:
-    """How old a majority's word may be, and how long to wait for one: the time of contact (ns)."""
-    return int(max(bounds.contact_ms, LEAST_CONTACT_MS) * MS)
+    """The age in ns up to which a majority's confirmation counts, and the time to wait for one."""
+    return int(max(bounds.contact_ms, MIN_CONTACT_MS) * MS)
 
 
 class Gate:
     """Holds the names that one feed has changed and that were not passed on."""
 
     def __init__(self) -> None:
+        """A closed gate with nothing pending."""
         self.is_open = False
-        self.held: dict[Name, None] = {}
+        self.pending: dict[Name, None] = {}
 
     def take(self, snapshot: bool, changes: list[Change], confirmed: bool) -> list[Change] | None:
-        """The changes to pass on now; None when those that are held are to be passed on with them."""
+        """The changes to pass on now; None when the pending ones go with them."""
         self.is_open = confirmed or (self.is_open and not snapshot)
-        if self.is_open and not self.held:
+        if self.is_open and not self.pending:
             return changes
         for topic, key, _ in changes:
-            self.held.pop((topic, key), None)  # the order of last changes is kept
-            self.held[topic, key] = None
+            self.pending.pop((topic, key), None)  # the order of last changes is kept
+            self.pending[topic, key] = None
         return None if self.is_open else []
 
     def release(self, state: dict[Name, bytes]) -> list[Change]:
-        """Opens; what was held, as it stands now."""
+        """Opens; what was pending, as it stands now."""
         self.is_open = True
-        held, self.held = self.held, {}
-        return [Change(*name, state.get(name)) for name in held]
+        pending, self.pending = self.pending, {}
+        return [Change(*name, state.get(name)) for name in pending]
 
 
 class ConfirmedFeeds:
     """A gate for each follower; `apply(follower, changes)` takes what is passed on.
 
-    `longest_ago`: of a majority's word that is enough for a snapshot; `patience`: after so much running time
-    without any confirmed feed, all are passed on (ns)."""
+    `max_age_ns`: the age of a confirmation that is enough for a snapshot; `patience`: after so much running
+    time without any confirmed feed, all are passed on (ns)."""
 
-    def __init__(self, clock: Callable[[], int], longest_ago: int, patience: int, apply: Apply) -> None:
+    def __init__(self, clock: Callable[[], int], max_age_ns: int, patience: int, apply: Apply) -> None:
+        """Counts the patience from now on, by `clock` (ns)."""
         self._clock, self._apply = clock, apply
-        self._longest_ago, self._patience = longest_ago, patience
+        self._longest_ago, self._patience = max_age_ns, patience
         self._gates: dict[Follower, Gate] = {}
         self._waited = 0  # ns of running time
         self._ticked_at = clock()
@@ -81,16 +83,16 @@
         """To be called regularly: passes on what is held once the patience is over."""
         now = self._clock()
         step, self._ticked_at = now - self._ticked_at, now
-        if not any(gate.held for gate in self._gates.values()) or self._hears_confirmed:
+        if not any(gate.pending for gate in self._gates.values()) or self._has_confirmed_feed:
             self._waited = 0
             return
-        self._waited += min(step, LONGEST_STEP)
+        self._waited += min(step, MAX_TICK_STEP_NS)
         if self._waited < self._patience:
             return
         for follower, gate in list(self._gates.items()):
-            if gate.held:
+            if gate.pending:
                 self._apply(follower, gate.release(follower.state))
 
     @property
-    def _hears_confirmed(self) -> bool:
+    def _has_confirmed_feed(self) -> bool:
         return any(follower.is_confirmed(self._patience) for follower in self._gates)
--- a/hopsail/feed/fold.py
+++ b/hopsail/feed/fold.py
@@ -16,7 +16,7 @@
 
 
 class Folded(NamedTuple):
-    """What a reply, or the last part of one, has changed; removals always name a key that was held."""
+    """What a reply, or the last page of one, has changed; removals always name a key that was held."""
 
     snapshot: bool  # `changes` name all entries, and the removals of all others that were held
     changes: list[Change]
@@ -26,27 +26,30 @@
     """State folded out of the replies of one journal after the other."""
 
     def __init__(self) -> None:
+        """Nothing is held; the first poll asks for a snapshot."""
         self.state: dict[Name, bytes] = {}
         self.position = Position()
         self.ignored = 0  # replies that do not follow on what is held
-        self._parts: dict[Name, bytes | None] | None = None  # of a reply whose end is still to come
-        self._parts_are_snapshot = False
+        self._collected: dict[Name, bytes | None] | None = None  # of a reply whose end is still to come
+        self._collecting_snapshot = False
 
     def apply(self, reply: PollReply) -> Folded | None:
         """Takes the reply to a poll made at `position`.
 
-        None when it changes nothing yet: it is a part that others follow, or is no answer to that poll."""
+        None when it changes nothing yet: it is a page that others follow, or is no answer to that poll."""
         if not self._follows(reply):
             self.ignored += 1
             return None
-        if reply.snapshot or self._parts is None:
-            self._parts, self._parts_are_snapshot = {}, reply.snapshot
-        self._collect(reply.changes)
+        collected = self._collected
+        if reply.snapshot or collected is None:
+            collected = self._collected = {}
+            self._collecting_snapshot = reply.snapshot
+        _collect(collected, reply.changes)
         self.position = Position(reply.incarnation, reply.sequence, reply.base)
         if reply.more:
             return None
-        parts, self._parts = self._parts, None
-        return self._replace(parts) if self._parts_are_snapshot else self._update(parts)
+        self._collected = None
+        return self._replace(collected) if self._collecting_snapshot else self._update(collected)
 
     def _follows(self, reply: PollReply) -> bool:
         if reply.since != self.position.sequence:
@@ -55,15 +58,9 @@
             return True
         return reply.incarnation == self.position.incarnation and reply.sequence >= reply.since
 
-    def _collect(self, changes: Iterable[ChangeStruct]) -> None:
-        for change in changes:
-            name = (change.topic, change.key)
-            self._parts.pop(name, None)  # the order of last changes is kept
-            self._parts[name] = change.value
-
-    def _update(self, parts: dict[Name, bytes | None]) -> Folded:
+    def _update(self, collected: dict[Name, bytes | None]) -> Folded:
         changes = []
-        for name, value in parts.items():
+        for name, value in collected.items():
             if value is not None:
                 self.state[name] = value
             elif self.state.pop(name, None) is None:
@@ -71,9 +68,17 @@
             changes.append(Change(*name, value))
         return Folded(False, changes)
 
-    def _replace(self, parts: dict[Name, bytes | None]) -> Folded:
-        state = {name: value for name, value in parts.items() if value is not None}
+    def _replace(self, collected: dict[Name, bytes | None]) -> Folded:
+        state = {name: value for name, value in collected.items() if value is not None}
         changes = [Change(*name, None) for name in self.state if name not in state]
         changes += [Change(*name, value) for name, value in state.items()]
         self.state = state
         return Folded(True, changes)
+
+
+def _collect(collected: dict[Name, bytes | None], changes: Iterable[ChangeStruct]) -> None:
+    """Adds a page's changes; each key stands at the place of its last change."""
+    for change in changes:
+        name = (change.topic, change.key)
+        collected.pop(name, None)
+        collected[name] = change.value
--- a/hopsail/feed/journal.py
+++ b/hopsail/feed/journal.py
@@ -8,13 +8,15 @@
 from contextlib import contextmanager
 from typing import NamedTuple
 
+from ..errors import HopsailError
+
 MAX_REMOVED = 16_384  # removed keys that are remembered
 ENTRY_OVERHEAD = 32  # bytes that an entry costs in a reply besides its key and value, about
 
 Name = tuple[int, str]  # topic and key
 
 
-class JournalFullError(Exception):
+class JournalFullError(HopsailError):
     """A key more than the journal may hold; the batch it belongs to is not committed."""
 
 
@@ -45,6 +47,7 @@
     `incarnation` is above 0, which followers that hold nothing tell."""
 
     def __init__(self, incarnation: int, max_entries: int, max_removed: int = MAX_REMOVED) -> None:
+        """An empty store. Raises ValueError when the incarnation is not above 0."""
         if incarnation <= 0:
             raise ValueError("an incarnation is above 0")
         self.incarnation, self.max_entries, self.max_removed = incarnation, max_entries, max_removed
@@ -117,7 +120,7 @@
         max_bytes: int | None = None,
         base: int = 0,
     ) -> Page | None:
-        """As `changes_since`, as much of it as has room in about so many bytes.
+        """As `changes_since`, as much of it as fits in about so many bytes.
 
         `base` is the journal's sequence when a snapshot began that is being continued: removals up to it do
         not matter, the snapshot does not hold those keys."""
@@ -133,7 +136,7 @@
         return self._page(names, max_bytes)
 
     def page_of_snapshot(self, topics: Collection[int] | None = None, max_bytes: int | None = None) -> Page:
-        """As `snapshot`, as much of it as has room in about so many bytes; continued by `page_since`."""
+        """As `snapshot`, as much of it as fits in about so many bytes; continued by `page_since`."""
         names = [
             name
             for name, entry in self._entries.items()
@@ -143,12 +146,12 @@
 
     def _page(self, names: list[Name], max_bytes: int | None) -> Page:
         changes: list[Change] = []
-        room = max_bytes
+        remaining = max_bytes
         for name in names:
             entry = self._entries[name]
-            if room is not None:
-                room -= ENTRY_OVERHEAD + len(name[1]) + len(entry.value or b"")
-                if room < 0 and changes:
+            if remaining is not None:
+                remaining -= ENTRY_OVERHEAD + len(name[1]) + len(entry.value or b"")
+                if remaining < 0 and changes:
                     return Page(changes, self._entries[names[len(changes) - 1]].sequence, True)
             changes.append(Change(name[0], name[1], entry.value))
         return Page(changes, self.sequence, False)
@@ -161,7 +164,7 @@
         before = self.get(*name)
         if value == before:
             return False
-        self._make_room(before, value)
+        self._check_capacity(before, value)
         if self._batch is None:
             self._commit({name: value})
         else:
@@ -169,10 +172,10 @@
             self._batch[name] = value
         return True
 
-    def _make_room(self, before: bytes | None, value: bytes | None) -> None:
+    def _check_capacity(self, before: bytes | None, value: bytes | None) -> None:
         added = self._added if self._batch is not None else 0
         if before is None and value is not None and len(self) + added >= self.max_entries:
-            raise JournalFullError(f"{self.max_entries} keys")
+            raise JournalFullError(f"a key beyond the {self.max_entries} that the journal may hold")
 
     def _commit(self, batch: dict[Name, bytes | None]) -> None:
         changed = False
--- a/hopsail/feed/messages.py
+++ b/hopsail/feed/messages.py
@@ -1,6 +1,6 @@
 """The one call of a feed, and its reply.
 
-A reply longer than one page is sent in parts. The parts together bring the follower from one state to the
+A reply longer than one page is sent in pages. The pages together bring the follower from one state to the
 next, so it applies none of them before the last (`more` is false)."""
 
 from ..rpc.structs import Struct, TType, binary, boolean, i32, i64, list_of, spec, structs, text
@@ -29,7 +29,7 @@
     wait_ms: int  # how long the publisher may wait for a change
     topics: list[int]
     report: bytes  # what the follower tells the publisher
-    base: int  # the journal's sequence when the snapshot began whose parts are being received; else 0
+    base: int  # the journal's sequence when the snapshot began whose pages are being received; else 0
 
     thrift_spec = spec(
         text(1, "node"),
@@ -50,17 +50,19 @@
     node: str  # of the publisher
     incarnation: int
     sequence: int  # to ask from next
-    snapshot: bool  # `changes` are all entries of the topics, or their first part
+    snapshot: bool  # `changes` are all entries of the topics, or their first page
     changes: list[ChangeStruct]
     contact_age_ms: int  # since a majority last confirmed what the publisher tells; -1 before
     members: list[str]  # the committed list of control processes, as of `members_as_of`
-    more: bool  # further parts follow
+    more: bool  # further pages follow
     base: int  # as in the request, to be asked with next
     since: int  # the sequence that was asked with
     packed: bytes  # `packing.ChangeList`, compressed, in place of `changes`
-    members_as_of: int  # committed index of part 0; -1 when the publisher knows no list
-    others: list[str]  # control processes that may know more, from a publisher without a majority's word
-    held_ms: int  # how long the poll waited at the publisher before the reply was made, at least
+    members_as_of: int  # committed index of shard 0; -1 when the publisher knows no list
+    others: list[
+        str
+    ]  # control processes that may know more, from a publisher without a majority's confirmation
+    parked_ms: int  # how long the poll waited at the publisher before the reply was made, at least
 
     thrift_spec = spec(
         text(1, "node"),
@@ -76,5 +78,5 @@
         binary(11, "packed"),
         i64(12, "members_as_of", -1),
         list_of(13, "others", TType.STRING, "UTF8"),
-        i32(14, "held_ms"),
+        i32(14, "parked_ms"),
     )
--- a/hopsail/feed/publisher.py
+++ b/hopsail/feed/publisher.py
@@ -12,7 +12,7 @@
 MS = 1_000_000  # ns
 MAX_PARKED = 1024  # polls that wait; a further one is answered at once
 MAX_WAIT_MS = 10_000
-MAX_PAGE = 512 * 1024  # bytes of changes in one reply, about, before they are packed
+MAX_PAGE_BYTES = 512 * 1024  #  of changes in one reply, about, before they are packed
 
 
 class Responder(Protocol):
@@ -40,8 +40,9 @@
     confirmed its contents, and the members."""
 
     def __init__(
-        self, journal: Journal, clock: Callable[[], int], node: str = "", max_page: int = MAX_PAGE
+        self, journal: Journal, clock: Callable[[], int], node: str = "", max_page: int = MAX_PAGE_BYTES
     ) -> None:
+        """Answers for `journal` as `node`, by `clock` (ns), in pages of about `max_page` bytes."""
         self.journal, self.clock, self.node, self.max_page = journal, clock, node, max_page
         self.reply_decorator: Callable[[PollReply], None] | None = None
         self.parking = True
@@ -135,10 +136,10 @@
         pages: dict[tuple[int, tuple[int, ...]], PollReply] = {}
         for parked in behind:
             request = parked.request
-            asked = (request.sequence, tuple(request.topics))
-            if asked not in pages:
-                pages[asked] = self._reply(request, self._page(request))
-            parked.respond(pages[asked])
+            question = (request.sequence, tuple(request.topics))
+            if question not in pages:
+                pages[question] = self._reply(request, self._page(request))
+            parked.respond(pages[question])
 
     def _page(self, request: PollRequest) -> tuple[Page, bool]:
         """What the request's follower lacks, and whether it is (the first part of) a snapshot."""
@@ -153,7 +154,7 @@
         # It was parked because it lacks nothing.
         page = Page([], self.journal.sequence, False)
         reply = self._reply(parked.request, (page, False))
-        reply.held_ms = (self.clock() - parked.began) // MS
+        reply.parked_ms = (self.clock() - parked.began) // MS
         parked.respond(reply)
 
     def _reply(self, request: PollRequest, found: tuple[Page, bool]) -> PollReply:
--- a/hopsail/feed/store_status.py
+++ b/hopsail/feed/store_status.py
@@ -1,10 +1,10 @@
-"""Whether a store answers, as fed by the leader of its part; the latest term's word counts."""
+"""Whether a store answers, as fed by the leader of its part; the latest term's status counts."""
 
 from typing import NamedTuple
 
 
 class StoreStatus(NamedTuple):
-    """What one leader says of a store."""
+    """What one leader has found of a store."""
 
     term: int
     up: bool
@@ -17,7 +17,7 @@
 
 def decode_store(value: bytes) -> StoreStatus:
     """Reads what `encode_store` wrote; raises ValueError."""
-    term, word = value.decode().split(" ")
-    if word not in ("up", "down"):
-        raise ValueError("neither up nor down")
-    return StoreStatus(int(term), word == "up")
+    term, text = value.decode().split(" ")
+    if text not in ("up", "down"):
+        raise ValueError(f"a status neither up nor down: {text}")
+    return StoreStatus(int(term), text == "up")
--- a/hopsail/feed/topics.py
+++ b/hopsail/feed/topics.py
@@ -10,7 +10,7 @@
     INSTANCE = 2  # instance id -> `hosts.instance` encoding, merged monotonically
     TARGET = 3  # model -> decimal revision of its weights that is to be in force
     LOAD = 4  # `Instance.load_key` of a host's model -> `weights` encoding of the progress of an order
-    KEPT = 5  # holder, salt and part, separated by spaces -> decimal tokens
+    PREFIX_CACHE = 5  # host or store, salt and block, separated by spaces -> decimal tokens
     STORE = 6  # service of a store -> `store_status` encoding
     BALANCERS = 7  # "count" -> decimal upper bound of live data planes
     LISTING = 8  # control process -> decimal count of its complete readings of the platform's list
--- a/tests/test_feed_confirmed.py
+++ b/tests/feed/test_confirmed.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hopsail.feed.confirmed import LONGEST_STEP, ConfirmedFeeds, contact_time
+from hopsail.feed.confirmed import MAX_TICK_STEP_NS, ConfirmedFeeds, contact_time
 from hopsail.feed.journal import Change
 from hopsail.feed.messages import PollReply
 from hopsail.feed.topics import DATA_PLANE_TOPICS
@@ -19,8 +19,8 @@
     def __init__(self, fleet):
         self.fleet, self.state, self.confirmed_at = fleet, {}, None
 
-    def is_confirmed(self, longest_ago):
-        return self.confirmed_at is not None and self.fleet.clock - self.confirmed_at <= longest_ago
+    def is_confirmed(self, max_age_ns):
+        return self.confirmed_at is not None and self.fleet.clock - self.confirmed_at <= max_age_ns
 
 
 class Fleet:
@@ -142,7 +142,7 @@
     fleet.clock += 60 * SECOND
     fleet.feeds.tick()
     assert fleet.take() == []
-    fleet.run(PATIENCE - LONGEST_STEP - TICK)
+    fleet.run(PATIENCE - MAX_TICK_STEP_NS - TICK)
     assert fleet.take() == []
 
 
--- a/tests/test_feed.py
+++ b/tests/feed/test_feed.py
@@ -8,7 +8,7 @@
 
 from hopsail.feed import publisher as publisher_module
 from hopsail.feed.fold import Fold, Position
-from hopsail.feed.follower import Follower
+from hopsail.feed.follower import Follower, Subscription
 from hopsail.feed.journal import Change, Journal, JournalFullError
 from hopsail.feed.messages import POLL, ChangeStruct, PollReply, PollRequest
 from hopsail.feed.publisher import Publisher
@@ -348,7 +348,7 @@
         (waited,) = [poll(publisher)]
         clock.now += 1000 * MS
         publisher.tick(clock.now)
-        assert waited[0].held_ms == 1000
+        assert waited[0].parked_ms == 1000
 
     def test_all_who_hold_the_same_have_the_same_reply(self, journal, publisher):
         answers = [poll(publisher, node=f"edge-{number}") for number in range(3)]
@@ -650,7 +650,9 @@
 
 @pytest.fixture
 def follower(fake_loop, fake_channel, told):
-    return Follower(fake_loop, fake_channel, "edge-1", "data", "z1", [HOSTS], told, lambda: b"busy")
+    return Follower(
+        fake_loop, fake_channel, Subscription("edge-1", "data", "z1", [HOSTS]), told, lambda: b"busy"
+    )
 
 
 class TestFollower:
@@ -665,7 +667,7 @@
         fake_loop.run(30 * MS)
         done(respond.replies[0], None)
         assert told == [(True, [Change(HOSTS, "a", b"1")])]
-        assert (follower.last_heard, follower.confirmed_at) == (fake_loop.now(), SECOND - 40 * MS)
+        assert (follower.last_reply_at, follower.confirmed_at) == (fake_loop.now(), SECOND - 40 * MS)
         assert follower.state == {(HOSTS, "a"): b"1"}
         assert fake_channel.calls == []  # never from inside the answer
         fake_loop.run()
@@ -689,7 +691,7 @@
             done(None, Timeout("poll"))
             waits.append((fake_loop.timers[0][0] - fake_loop.now()) // MS)
         assert waits == [50, 100, 200, 400, 500, 500]
-        assert type(follower.last_error) is Timeout and follower.last_heard == 0
+        assert type(follower.last_error) is Timeout and follower.last_reply_at == 0
         fake_loop.run(500 * MS)
         fake_channel.take()[1](PollReply(incarnation=5, snapshot=True), None)
         assert follower.last_error is None
@@ -698,16 +700,16 @@
         assert fake_loop.timers[0][0] - fake_loop.now() == 50 * MS
 
     @pytest.mark.parametrize(
-        "age_ms, held_ms, took_ms, ago_ms",
+        "age_ms, parked_ms, took_ms, ago_ms",
         [(0, 0, 30, 30), (200, 1000, 1030, 230), (0, 5000, 1000, 0), (1 << 30, 0, 0, 1 << 30)],
     )
     def test_a_word_is_as_old_as_the_poll_but_for_its_wait(
-        self, fake_loop, fake_channel, follower, age_ms, held_ms, took_ms, ago_ms
+        self, fake_loop, fake_channel, follower, age_ms, parked_ms, took_ms, ago_ms
     ):
         fake_loop.run()
         _, done = fake_channel.take()
         fake_loop.run(took_ms * MS)
-        done(PollReply(incarnation=5, snapshot=True, contact_age_ms=age_ms, held_ms=held_ms), None)
+        done(PollReply(incarnation=5, snapshot=True, contact_age_ms=age_ms, parked_ms=parked_ms), None)
         assert fake_loop.now() - follower.confirmed_at == ago_ms * MS
         assert follower.is_confirmed(ago_ms * MS) and not follower.is_confirmed(ago_ms * MS - 1)
 
@@ -725,7 +727,7 @@
         follower.stop()
         done(PollReply(incarnation=5, snapshot=True), None)
         fake_loop.run(10 * SECOND)
-        assert told == [] and fake_channel.calls == [] and follower.last_heard == 0
+        assert told == [] and fake_channel.calls == [] and follower.last_reply_at == 0
 
     def test_stopped_between_polls_it_asks_no_more(self, fake_loop, fake_channel, follower):
         fake_loop.run()
@@ -750,7 +752,7 @@
     def test_a_reply_that_does_not_follow_is_not_told(self, fake_loop, fake_channel, follower, told):
         fake_loop.run()
         fake_channel.take()[1](PollReply(incarnation=5, snapshot=True, since=3), None)
-        assert told == [] and follower.last_heard == fake_loop.now()
+        assert told == [] and follower.last_reply_at == fake_loop.now()
         fake_loop.run(20 * MS)
         assert fake_channel.take()[0].incarnation == 0
 
@@ -780,7 +782,7 @@
         journal.set(HOSTS, "a", b"1")
         server, publisher = self.serve(loop, journal)
         channel = Channel(loop, server.address, "blue")
-        follower = Follower(loop, channel, "edge-1", "data", "z1", [HOSTS], told)
+        follower = Follower(loop, channel, Subscription("edge-1", "data", "z1", [HOSTS]), told)
         try:
             self.until(loop, lambda: follower.state == {(HOSTS, "a"): b"1"})
             self.until(loop, lambda: publisher.parked)
@@ -803,7 +805,7 @@
     def test_a_follower_that_leaves_is_no_longer_parked(self, loop, told):
         server, publisher = self.serve(loop, Journal(1, 100))
         channel = Channel(loop, server.address, "blue")
-        follower = Follower(loop, channel, "edge-1", "data", "z1", [HOSTS], told)
+        follower = Follower(loop, channel, Subscription("edge-1", "data", "z1", [HOSTS]), told)
         try:
             self.until(loop, lambda: publisher.parked)
             follower.stop()
--- a/tests/test_feed_packing.py
+++ b/tests/feed/test_packing.py
@@ -3,7 +3,7 @@
 import pytest
 
 from hopsail.feed.messages import ChangeStruct, PollReply
-from hopsail.feed.packing import LEAST_PACKED, PackedResponder, Packer, unpack
+from hopsail.feed.packing import MIN_PACKED_CHANGES, PackedResponder, Packer, unpack
 from hopsail.rpc.structs import FrameError, decode, encode
 
 
@@ -15,7 +15,7 @@
     return PollReply(
         node="c", incarnation=7, sequence=9, snapshot=True, changes=changes, contact_age_ms=3,
         members=["a:1"], more=True, base=4, since=2,
-        members_as_of=8, others=["b:1"], held_ms=6,
+        members_as_of=8, others=["b:1"], parked_ms=6,
     )  # fmt: skip
 
 
@@ -23,7 +23,7 @@
     return unpack(decode(PollReply, encode(Packer().pack(reply))))
 
 
-@pytest.mark.parametrize("number", [0, 1, LEAST_PACKED - 1, LEAST_PACKED, 500])
+@pytest.mark.parametrize("number", [0, 1, MIN_PACKED_CHANGES - 1, MIN_PACKED_CHANGES, 500])
 def test_a_reply_arrives_as_it_was(number):
     assert travelled(reply_with(number)) == reply_with(number)
 
--- a/tests/feeds_simulation.py
+++ b/tests/feeds_simulation.py
@@ -14,7 +14,7 @@
 from hopsail.dataplane.plane import DataPlane
 from hopsail.dataplane.view import FleetView
 from hopsail.feed.confirmed import ConfirmedFeeds
-from hopsail.feed.follower import Follower
+from hopsail.feed.follower import Follower, Subscription
 from hopsail.feed.journal import Change, Journal
 from hopsail.feed.messages import POLL
 from hopsail.feed.topics import DATA_PLANE_TOPICS, Topic
@@ -133,7 +133,10 @@
         channel = SimulatedChannel(self, address[0])
         channel.address = address
         return Follower(
-            self, channel, self.identity, "dataplane", "z", DATA_PLANE_TOPICS, self._counted_changes
+            self,
+            channel,
+            Subscription(self.identity, "dataplane", "z", DATA_PLANE_TOPICS),
+            self._counted_changes,
         )
 
     def _counted_changes(self, *told) -> None:
--- a/tests/golden/test_golden_feed.py
+++ b/tests/golden/test_golden_feed.py
@@ -55,7 +55,7 @@
         since=3,
         members_as_of=5,
         others=["c:3"],
-        held_ms=250,
+        parked_ms=250,
     )
     return {
         "change": few[0],
@@ -64,7 +64,7 @@
         "reply": full,
         "reply defaults": reply([]),
         "reply many": reply(many, since=2),
-        "reply packed": Packer().pack(reply(many, since=2, held_ms=4)),
+        "reply packed": Packer().pack(reply(many, since=2, parked_ms=4)),
         "changes": ChangeList(changes=many),
     }
 
@@ -223,8 +223,8 @@
     def __init__(self, name: str, clock: list[int]):
         self.name, self.clock, self.state, self.confirmed_at = name, clock, {}, None
 
-    def is_confirmed(self, longest_ago: int) -> bool:
-        return self.confirmed_at is not None and self.clock[0] - self.confirmed_at <= longest_ago
+    def is_confirmed(self, max_age_ns: int) -> bool:
+        return self.confirmed_at is not None and self.clock[0] - self.confirmed_at <= max_age_ns
 
 
 def confirmed_history(seed: int) -> str:
--- a/tests/test_controlplane_kept.py
+++ b/tests/test_controlplane_kept.py
@@ -87,7 +87,7 @@
         return path
 
     def kept(self) -> dict[str, int]:
-        changes = self.journal.snapshot([Topic.KEPT])
+        changes = self.journal.snapshot([Topic.PREFIX_CACHE])
         return {change.key: int(change.value) for change in changes}
 
 
--- a/tests/test_dataplane_controls.py
+++ b/tests/test_dataplane_controls.py
@@ -24,7 +24,7 @@
 
 class Follower:
     def __init__(self, address):
-        self.address, self.last_heard, self.confirmed_at, self.stopped = address, 0, None, False
+        self.address, self.last_reply_at, self.confirmed_at, self.stopped = address, 0, None, False
 
     def stop(self):
         self.stopped = True
@@ -56,7 +56,7 @@
             self.clock += TICK
             for (name, _), follower in self.links.followers.items():
                 if name in self.answering:
-                    follower.last_heard = self.clock
+                    follower.last_reply_at = self.clock
                     follower.confirmed_at = self.clock if name in self.confirmed else follower.confirmed_at
             self.links.choose()
 
--- a/tests/test_dataplane_placement.py
+++ b/tests/test_dataplane_placement.py
@@ -81,7 +81,7 @@
         self.tell(Change(Topic.TARGET, model, str(revision).encode()))
 
     def keeps(self, holder, salt, part, tokens):
-        self.tell(Change(Topic.KEPT, f"{holder} {salt} {part}", str(tokens).encode()))
+        self.tell(Change(Topic.PREFIX_CACHE, f"{holder} {salt} {part}", str(tokens).encode()))
 
     def place(self, asked=None, service="s", tenant=None, priority=0, excluded=()):
         asked = prompt(*SHARED) if asked is None else asked
@@ -431,7 +431,7 @@
     fleet.place()
     fleet.keeps("i-0", salt, "5c1e", 600)  # not the whole part
     assert fleet.place().work == 50
-    fleet.tell(Change(Topic.KEPT, f"i-0 {salt} 5c1e", None))
+    fleet.tell(Change(Topic.PREFIX_CACHE, f"i-0 {salt} 5c1e", None))
     assert fleet.place().work == 50
 
 
--- a/tests/test_dataplane_view.py
+++ b/tests/test_dataplane_view.py
@@ -143,7 +143,7 @@
         Change(Topic.LOAD, "i-0", b"no load"),
         Change(Topic.TARGET, "m", b"no number"),
         Change(Topic.BALANCERS, "count", b"no number"),
-        Change(Topic.KEPT, "not three words at all", b"5"),
+        Change(Topic.PREFIX_CACHE, "not three words at all", b"5"),
         Change(99, "unheard-of", b"x"),
     ],
     ids=["instance", "load", "target", "balancers", "kept", "topic"],
@@ -291,7 +291,7 @@
 
 
 def kept(tokens, key="i-1 salt 5c1e"):
-    return Change(Topic.KEPT, key, None if tokens is None else str(tokens).encode())
+    return Change(Topic.PREFIX_CACHE, key, None if tokens is None else str(tokens).encode())
 
 
 def told_kept(view, salt="salt"):
@@ -345,7 +345,7 @@
 
 
 def test_kept_parts_whose_tokens_cannot_be_read_are_passed_over(view):
-    Feed(view).tell(Change(Topic.KEPT, "i-1 salt 5c1e", b"many"), kept(700, "i-2 salt 5c1e"))
+    Feed(view).tell(Change(Topic.PREFIX_CACHE, "i-1 salt 5c1e", b"many"), kept(700, "i-2 salt 5c1e"))
     assert told_kept(view) == {"i-2": 700} and view.unreadable == 1
 
 
--- a/tests/test_old_configurations.py
+++ b/tests/test_old_configurations.py
@@ -13,7 +13,7 @@
 )
 
 from hopsail.controlplane.contact import CONFIRM_INTERVAL_NS
-from hopsail.feed.confirmed import LONGEST_STEP
+from hopsail.feed.confirmed import MAX_TICK_STEP_NS
 from hopsail.feed.topics import Topic
 from hopsail.hosts.instance import Phase
 from hopsail.replication.schedule import CALM, ROUGH
@@ -383,7 +383,7 @@
         if plane.ready_at is None:
             return
         ran_for = plane.ready_at - plane.began - plane.stopped_for
-        if ran_for + min(plane.stopped_for, LONGEST_STEP) >= CONTACT_TIME:
+        if ran_for + min(plane.stopped_for, MAX_TICK_STEP_NS) >= CONTACT_TIME:
             return
         bound = self.newest_at(plane.ready_at - CONTACT_TIME)
         assert plane.revisions[0] >= bound, (plane.identity, plane.revisions, bound)
