--- a/hopsail/controlplane/replicas.py
+++ b/hopsail/controlplane/replicas.py
@@ -8,8 +8,8 @@
 from ..replication.disk_thread import DiskThread
 from ..replication.messages import MessageError, decode, encode
 from ..replication.replica import Replica
-from ..replication.state import DurableState, Members, Ready, ReplicaRules
-from ..replication.storage import PartWrite, Storage, StorageError
+from ..replication.state import DurableState, Members, Ready, ReplicaConfig
+from ..replication.storage import ShardWrite, Storage, StorageError
 from .commands import Command, Result
 from .configuration_state import ConfigurationState
 from .decisions import STEP_INTERVAL_MS
@@ -49,9 +49,9 @@
         if durable is None:
             members = Members(tuple(sorted(f"{host}:{port}" for host, port in self.plane.seeds)))
             durable = DurableState(members=members if bootstrapping else Members(), recovered=bootstrapping)
-        rules = ReplicaRules(self.plane.identity)
+        config = ReplicaConfig(self.plane.identity)
         now, started_at = self.loop.now(), self.plane.started_at
-        replica = Replica(rules, self.plane.random, now, durable, recovering, started_at)
+        replica = Replica(config, self.plane.random, now, durable, recovering, started_at)
         if number == CONFIGURATION_SHARD:
             state, decoding = ConfigurationState(), ConfigurationState.decoding
             apply = _apply_configuration
@@ -101,7 +101,7 @@
     # The disk.
 
     def _store(self, shard: Shard, ready: Ready) -> None:
-        self.disk.submit([PartWrite(SHARD_NAMES[shard.number], ready)], (shard, ready.serial))
+        self.disk.submit([ShardWrite(SHARD_NAMES[shard.number], ready)], (shard, ready.serial))
 
     def _written(self, _mask) -> None:
         now = self.loop.now()
--- a/hopsail/controlplane/voters.py
+++ b/hopsail/controlplane/voters.py
@@ -85,7 +85,7 @@
         """Whether this leader has had nothing from a member for long while both have their roles."""
         if identity == self.plane.identity:
             return False
-        received_at = replica.last_heard(identity)
+        received_at = replica.last_reply_time(identity)
         since = watch.since[identity]
         return now - (since if received_at is None else max(received_at, since)) > self.dead_time
 
--- a/hopsail/replication/core.py
+++ b/hopsail/replication/core.py
@@ -7,10 +7,10 @@
 from .log import Log
 from .messages import Entry, EntryKind
 from .progress import NEVER, Progress, majority_value
-from .state import DurableState, HardState, Members, ReplicaRules, Snapshot
+from .state import DurableState, HardState, Members, ReplicaConfig, Snapshot
 from .structs import Struct
 
-MOST_OUTGOING = 4096
+MAX_OUTGOING_MESSAGES = 4096
 INCARNATION_BITS = 62
 
 
@@ -28,15 +28,15 @@
 
     def __init__(
         self,
-        rules: ReplicaRules,
+        config: ReplicaConfig,
         random: Random,
         now: int,
         durable: DurableState,
         recovering: bool,
         started_at: int | None = None,
     ):
-        self.rules = rules
-        self.identity = rules.identity
+        self.config = config
+        self.identity = config.identity
         self.random = random
         self.now = now
         self.incarnation = random.getrandbits(INCARNATION_BITS) + 1
@@ -49,33 +49,35 @@
         self.leader: str | None = None
         self.commit_index = self.applied_index = self.log.snapshot_index
         self._initial_members = durable.members
-        self._recovered_marked = not self.recovering
+        self._recovery_recorded = not self.recovering
         self._installed: Snapshot | None = durable.snapshot
         self._outgoing: list[tuple[str, Struct]] = []
         self._retry_storage_at = now
-        self._leaves_since: int | None = None
-        self._ask_at = 0
-        self._held_index: int | None = None
-        self._let_go = False
+        self._leaving_since: int | None = None
+        self._leave_request_at = 0
+        self._acknowledgement_limit: int | None = None
+        self._leave_granted = False
         self._start_follower_state(now if started_at is None else min(now, started_at))
         self._start_leader_state()
-        self._is_fresh = True  # it has neither led nor heard a leader in this life
-        self._survey = None
-        self._survey_at = now
-        self._known_lives: dict[str, int] = {}
+        self._no_leader_seen = True  # it has neither led nor heard a leader in this life
+        self._restart_check = None
+        self._restart_query_at = now
+        self._known_incarnations: dict[str, int] = {}
         if durable.term == 0 and not self.recovering:
-            self._leader_heard_at = NEVER  # it has answered nobody yet: nobody relies on its silence
-            self._election_at = now + random.randint(rules.heartbeat, rules.election_least)
+            self._last_leader_contact_at = NEVER  # it has answered nobody yet: nobody relies on its silence
+            self._election_at = now + random.randint(
+                config.heartbeat_interval_ns, config.min_election_timeout_ns
+            )
             self._change_hard_state()
 
     def _start_follower_state(self, started_at: int) -> None:
-        self._leader_heard_at = self._promise_at_start(started_at)
+        self._last_leader_contact_at = self._leader_contact_at_start(started_at)
         self._verified_index = 0
         self._acknowledgement: tuple[str, int, int] | None = None
         self._votes: set[str] = set()
         self._election_at = self._first_election_at()
 
-    def _promise_at_start(self, started_at: int) -> int:
+    def _leader_contact_at_start(self, started_at: int) -> int:
         """When a leader was last heard of, at the latest: an earlier life may have promised not to vote.
 
         That one had ended when this process started."""
@@ -83,15 +85,15 @@
 
     def _first_election_at(self) -> int:
         """Soon after the promise is over: where all have restarted, nobody leads."""
-        over = max(self.now, self._leader_heard_at + self.rules.election_least)
-        spread = (self.rules.election_most - self.rules.election_least) // 2
+        over = max(self.now, self._last_leader_contact_at + self.config.min_election_timeout_ns)
+        spread = (self.config.max_election_timeout_ns - self.config.min_election_timeout_ns) // 2
         return over + self.random.randint(0, spread)
 
     def _start_leader_state(self) -> None:
         self._progress: dict[str, Progress] = {}
-        self._former: dict[str, Progress] = {}
-        self._round = 0
-        self._round_wanted = False
+        self._former_progress: dict[str, Progress] = {}
+        self._heartbeat_round = 0
+        self._heartbeat_wanted = False
         self._heartbeat_at = 0
         self._first_of_term = 0
         self._successor: str | None = None
@@ -123,7 +125,7 @@
 
     def _change_hard_state(self) -> None:
         self.durability.hard_state = HardState(
-            self.term, self.voted_for, self._recovered_marked, self._initial_members
+            self.term, self.voted_for, self._recovery_recorded, self._initial_members
         )
 
     @property
@@ -134,15 +136,15 @@
         """Send at once, or handle a message to itself."""
         if peer == self.identity:
             self._handle(peer, message)
-        elif len(self._outgoing) < MOST_OUTGOING:
+        elif len(self._outgoing) < MAX_OUTGOING_MESSAGES:
             self._outgoing.append((peer, message))
 
     def _send_when_durable(self, peer: str, message: Struct) -> None:
         """Send once all that was changed until now is synced."""
         if self.durability.is_clean(self.log):
             self._send(peer, message)
-        elif len(self.durability.held) < MOST_OUTGOING:
-            self.durability.held.append((peer, message))
+        elif len(self.durability.pending_messages) < MAX_OUTGOING_MESSAGES:
+            self.durability.pending_messages.append((peer, message))
 
     def _handle(self, sender: str, message: Struct) -> None:
         raise NotImplementedError
@@ -151,7 +153,7 @@
 
     def _reset_election_timer(self) -> None:
         self._election_at = self.now + self.random.randint(
-            self.rules.election_least, self.rules.election_most
+            self.config.min_election_timeout_ns, self.config.max_election_timeout_ns
         )
 
     def _become_follower(self, term: int, leader: str | None) -> None:
@@ -168,16 +170,16 @@
             self._reset_election_timer()
         self.leader = leader
 
-    def _hear_leader(self, term: int, leader: str) -> None:
+    def _follow_leader(self, term: int, leader: str) -> None:
         self._become_follower(term, leader)
-        self._leader_heard_at = self.now
-        self._end_freshness()
+        self._last_leader_contact_at = self.now
+        self._record_leader_seen()
         self._reset_election_timer()
 
-    def _end_freshness(self) -> None:
+    def _record_leader_seen(self) -> None:
         """It leads, or has heard a leader: what it knew of a restart of all is over."""
-        self._is_fresh = False
-        self._known_lives = {}
+        self._no_leader_seen = False
+        self._known_incarnations = {}
 
     def _majority(self, own: int, of_peer) -> int:
         """The highest value that a majority of each set of voters has; those recovering have none."""
@@ -198,5 +200,5 @@
 
     def _append_entry(self, kind: EntryKind, data: bytes) -> int:
         index = self.log.last_index + 1
-        self.log.append([Entry(self.term, index, int(kind), data)])
+        self.log.append([Entry(term=self.term, index=index, kind=int(kind), data=data)])
         return index
--- a/hopsail/replication/disk_thread.py
+++ b/hopsail/replication/disk_thread.py
@@ -10,14 +10,14 @@
 from threading import Thread
 from typing import NamedTuple
 
-from .records import PartWrite
+from .records import ShardWrite
 from .storage import Storage, StorageError
 
 WAKE_BYTES = 4096
 
 
 class _Job(NamedTuple):
-    batch: list[PartWrite]
+    batch: list[ShardWrite]
     token: object
 
 
@@ -37,12 +37,12 @@
         self._jobs: SimpleQueue[_Job | None] = SimpleQueue()
         self._submitted_at: deque[int] = deque()
         self._progressed_at = clock()
-        storage.has_progressed = self._note_progress
+        storage.on_progress = self._record_progress
         self._results: deque[tuple[object, StorageError | None]] = deque()
         self._thread = Thread(target=self._run, name="disk", daemon=True)
         self._thread.start()
 
-    def submit(self, batch: list[PartWrite], token: object) -> None:
+    def submit(self, batch: list[ShardWrite], token: object) -> None:
         """Have a batch written; `collect` gives the token back."""
         self._submitted_at.append(self._clock())
         self._jobs.put(_Job(batch, token))
@@ -67,7 +67,7 @@
             return 0
         return max(0, now - max(self._submitted_at[0], self._progressed_at))
 
-    def _note_progress(self) -> None:
+    def _record_progress(self) -> None:
         """In the disk's thread: a long write has been encoded, or a chunk of it synced."""
         self._progressed_at = self._clock()
 
@@ -85,7 +85,7 @@
             if self._jobs.empty() or self._storage.is_wasteful:
                 self._compact()
 
-    def _write(self, batch: list[PartWrite]) -> StorageError | None:
+    def _write(self, batch: list[ShardWrite]) -> StorageError | None:
         try:
             self._storage.write(batch)
         except StorageError as error:
--- a/hopsail/replication/durability.py
+++ b/hopsail/replication/durability.py
@@ -6,7 +6,7 @@
 from .state import HardState, Ready, Snapshot
 from .structs import Struct
 
-Held = list[tuple[str, Struct]]
+PendingMessages = list[tuple[str, Struct]]
 
 
 @dataclass
@@ -15,24 +15,24 @@
     last_index: int
     hard_state: HardState | None
     snapshot: Snapshot | None
-    held: Held
+    pending_messages: PendingMessages
 
 
 class Durability:
     """One write at a time is under way; all that changes meanwhile goes into the next one.
 
-    `durable_index`: the log agrees with the disk up to there. `held`: messages that must not leave before the
-    present state is synced.
+    `durable_index`: the log agrees with the disk up to there. `pending_messages` must not leave before
+    the present state is synced.
     """
 
     def __init__(self, log: Log, durable_term: int):
         self.durable_index = log.last_index
         self.durable_term = durable_term
         self.hard_state: HardState | None = None
-        self.held: Held = []
+        self.pending_messages: PendingMessages = []
         self.failing = False
         self.in_flight: _InFlight | None = None
-        self._offered_index = log.last_index
+        self._submitted_index = log.last_index
         self._truncate_from: int | None = None
         self._snapshot: Snapshot | None = None
         self._serial = 0
@@ -43,32 +43,32 @@
 
     def _has_work(self, log: Log) -> bool:
         changed = self.hard_state or self._snapshot or self._truncate_from is not None
-        return bool(changed) or self._offered_index < log.last_index
+        return bool(changed) or self._submitted_index < log.last_index
 
-    def truncated(self, first: int) -> None:
+    def record_truncation(self, first: int) -> None:
         """The log was cut at `first`."""
         self.durable_index = min(self.durable_index, first - 1)
-        if first <= self._offered_index:
-            self._offered_index = first - 1
-            self._cut(first)
+        if first <= self._submitted_index:
+            self._submitted_index = first - 1
+            self._truncate_disk_from(first)
         if self.in_flight:
             self.in_flight.last_index = min(self.in_flight.last_index, first - 1)
 
-    def _cut(self, first: int) -> None:
+    def _truncate_disk_from(self, first: int) -> None:
         self._truncate_from = first if self._truncate_from is None else min(first, self._truncate_from)
 
-    def compacted(self, snapshot: Snapshot) -> None:
+    def record_snapshot(self, snapshot: Snapshot) -> None:
         """The log was compacted up to a snapshot of its own."""
         self._snapshot = snapshot
-        self._offered_index = max(self._offered_index, snapshot.index)
+        self._submitted_index = max(self._submitted_index, snapshot.index)
 
-    def reset(self, snapshot: Snapshot) -> None:
+    def record_reset(self, snapshot: Snapshot) -> None:
         """The log was replaced by a snapshot."""
-        self.truncated(1)
-        self._cut(1)
-        self.compacted(snapshot)
+        self.record_truncation(1)
+        self._truncate_disk_from(1)
+        self.record_snapshot(snapshot)
 
-    def offer(self, log: Log) -> Ready | None:
+    def next_write(self, log: Log) -> Ready | None:
         """The next write, if there is something to write and none is under way."""
         if self.in_flight or not self._has_work(log):
             return None
@@ -76,7 +76,7 @@
         ready = Ready(
             serial=self._serial,
             hard_state=self.hard_state,
-            entries_to_store=log.slice(self._offered_index + 1, log.last_index),
+            entries_to_store=log.slice(self._submitted_index + 1, log.last_index),
             truncate_from=self._truncate_from,
             snapshot_to_store=self._snapshot,
         )
@@ -85,14 +85,14 @@
             log.last_index,
             self.hard_state,
             self._snapshot,
-            self.held,
+            self.pending_messages,
         )
-        self._offered_index = log.last_index
+        self._submitted_index = log.last_index
         self.hard_state = self._snapshot = self._truncate_from = None
-        self.held = []
+        self.pending_messages = []
         return ready
 
-    def persisted(self, serial: int | None) -> _InFlight | None:
+    def complete_write(self, serial: int | None) -> _InFlight | None:
         """The write under way is synced; None if it is another one than `serial`."""
         done = self.in_flight
         if done is None or (serial is not None and serial != done.serial):
@@ -104,15 +104,15 @@
             self.durable_term = done.hard_state.term
         return done
 
-    def failed(self) -> None:
+    def fail_write(self) -> None:
         """The write under way failed: offer it again, and drop the messages that waited for it."""
         self.failing = True
-        self.held = []
+        self.pending_messages = []
         lost = self.in_flight
         if lost is None:
             return
         self.in_flight = None
         self.hard_state = self.hard_state or lost.hard_state
         self._snapshot = self._snapshot or lost.snapshot
-        self._cut(self.durable_index + 1)
-        self._offered_index = max(self.durable_index, self._snapshot.index if self._snapshot else 0)
+        self._truncate_disk_from(self.durable_index + 1)
+        self._submitted_index = max(self.durable_index, self._snapshot.index if self._snapshot else 0)
--- a/hopsail/replication/election.py
+++ b/hopsail/replication/election.py
@@ -6,10 +6,10 @@
 
 from .core import Role
 from .messages import RequestVote, RequestVoteReply, TimeoutNow
-from .restarts import Restarts
+from .restart_checks import RestartChecks
 
 
-class Elections(Restarts):
+class Elections(RestartChecks):
     """Asks for votes and gives them."""
 
     def _may_stand(self) -> bool:
@@ -20,7 +20,7 @@
         """Whether it votes, or did before a change that may not be committed and that others may lack."""
         if self.identity in self.members.electors:
             return True
-        return self.log.members_index > self.commit_index and self.identity in self.log.electors_before
+        return self.log.members_index > self.commit_index and self.identity in self.log.previous_electors
 
     def _election_timeout(self) -> None:
         self._reset_election_timer()
@@ -29,7 +29,7 @@
         self.leader = None
         self.role = Role.PRE_CANDIDATE
         self._votes = {self.identity}
-        self._ask_votes(self.term + 1, pre=True, transfer=False)
+        self._request_votes(self.term + 1, pre_vote=True, transfer=False)
         self._count_pre_votes()
 
     def _campaign(self, transfer: bool) -> None:
@@ -42,26 +42,33 @@
         self._acknowledgement = None
         self._change_hard_state()
         self._reset_election_timer()
-        self._ask_votes(self.term, pre=False, transfer=transfer)
-        self._send_when_durable(self.identity, RequestVoteReply(self.term, True, False))
+        self._request_votes(self.term, pre_vote=False, transfer=transfer)
+        self._send_when_durable(self.identity, RequestVoteReply(term=self.term, granted=True, pre_vote=False))
 
-    def _ask_votes(self, term: int, pre: bool, transfer: bool) -> None:
+    def _request_votes(self, term: int, pre_vote: bool, transfer: bool) -> None:
         last_index, last_term = self.log.last_index, self.log.last_term
         for voter in self.members.electors:
             if voter == self.identity:
                 continue
-            life = self._known_lives.get(voter)
-            message = RequestVote(term, last_index, last_term, pre, transfer, life)
-            if pre:
+            incarnation = self._known_incarnations.get(voter)
+            message = RequestVote(
+                term=term,
+                last_index=last_index,
+                last_term=last_term,
+                pre_vote=pre_vote,
+                transfer=transfer,
+                incarnation=incarnation,
+            )
+            if pre_vote:
                 self._send(voter, message)
             else:
                 self._send_when_durable(voter, message)
 
     def _on_request_vote(self, candidate: str, message: RequestVote) -> None:
-        if not self._may_vote() or (self._is_promised(message) and not message.transfer):
+        if not self._may_vote() or (self._must_refuse_vote(message) and not message.transfer):
             return
-        if message.pre:
-            self._answer_pre_vote(candidate, message)
+        if message.pre_vote:
+            self._reply_to_pre_vote(candidate, message)
             return
         if message.term > self.term:
             self._become_follower(message.term, None)
@@ -78,27 +85,30 @@
             self._reset_election_timer()
         if granted and self.role is Role.PRE_CANDIDATE:
             self._become_follower(self.term, None)
-        self._send_when_durable(candidate, RequestVoteReply(self.term, granted, False))
+        self._send_when_durable(candidate, RequestVoteReply(term=self.term, granted=granted, pre_vote=False))
 
     def _may_vote(self) -> bool:
         return not self.recovering
 
-    def _is_promised(self, message: RequestVote) -> bool:
-        return self._hears_leader() and not self._is_released(message)
+    def _must_refuse_vote(self, message: RequestVote) -> bool:
+        return self._has_recent_leader() and not self._is_restart_confirmed(message)
 
-    def _hears_leader(self) -> bool:
+    def _has_recent_leader(self) -> bool:
         """Whether this replica has lately promised a leader to elect no other."""
-        return self.is_leader or self.now - self._leader_heard_at < self.rules.election_least
+        return self.is_leader or self.now - self._last_leader_contact_at < self.config.min_election_timeout_ns
 
     def _is_up_to_date(self, message: RequestVote) -> bool:
         return (message.last_term, message.last_index) >= (self.log.last_term, self.log.last_index)
 
-    def _answer_pre_vote(self, candidate: str, message: RequestVote) -> None:
+    def _reply_to_pre_vote(self, candidate: str, message: RequestVote) -> None:
         granted = message.term > self.term and self._is_up_to_date(message)
-        self._send(candidate, RequestVoteReply(message.term if granted else self.term, granted, True))
+        self._send(
+            candidate,
+            RequestVoteReply(term=message.term if granted else self.term, granted=granted, pre_vote=True),
+        )
 
     def _on_request_vote_reply(self, voter: str, reply: RequestVoteReply) -> None:
-        if reply.pre and reply.granted:
+        if reply.pre_vote and reply.granted:
             if self.role is Role.PRE_CANDIDATE and reply.term == self.term + 1:
                 self._votes.add(voter)
                 self._count_pre_votes()
--- a/hopsail/replication/following.py
+++ b/hopsail/replication/follower_role.py
@@ -7,33 +7,33 @@
     InstallSnapshot,
     InstallSnapshotReply,
     MessageError,
-    Piece,
-    PieceReply,
+    MessageChunk,
+    MessageChunkReply,
     decode,
 )
-from .pieces import PieceReceiver
+from .message_chunks import ChunkReceiver
 from .state import Members, Snapshot
 
 
-class Following(ReplicaCore):
+class FollowerRole(ReplicaCore):
     """Takes the log from the leader of the term."""
 
     def _start_follower_state(self, started_at: int) -> None:
         super()._start_follower_state(started_at)
-        self._pieces = PieceReceiver(self.rules.most_snapshot_bytes)
+        self._chunk_receiver = ChunkReceiver(self.config.max_snapshot_bytes)
 
     def _on_append_entries(self, leader: str, message: AppendEntries) -> None:
         if not self._accept_leader(leader, message.term):
             return
         if message.prev_index > self.log.base_index and not self._agrees(message):
-            self._refuse(leader, message)
+            self._reject_entries(leader, message)
             return
         self._store_entries(message)
         last = message.prev_index + len(message.entries)
         self._verified_index = max(self._verified_index, last)
         self.commit_index = max(self.commit_index, min(message.commit, self._verified_index))
         self._end_recovering(leader, message)
-        self._acknowledgement = (leader, message.round, message.sent_at)
+        self._acknowledgement = (leader, message.heartbeat_round, message.sent_at)
         self._acknowledge()
 
     def _accept_leader(self, leader: str, term: int) -> bool:
@@ -43,20 +43,20 @@
             return False
         if term == self.term and self.role is Role.LEADER:
             return False
-        self._hear_leader(term, leader)
+        self._follow_leader(term, leader)
         return True
 
     def _agrees(self, message: AppendEntries) -> bool:
         return self.log.term_at(message.prev_index) == message.prev_term
 
-    def _refuse(self, leader: str, message: AppendEntries) -> None:
+    def _reject_entries(self, leader: str, message: AppendEntries) -> None:
         if not self._term_is_durable:
             return
         if message.prev_index > self.log.last_index:
             hint = self.log.last_index
         else:
             hint = max(self.log.first_of_term(message.prev_index) - 1, self.commit_index)
-        self._send(leader, self._reply(False, 0, hint, message.round, message.sent_at))
+        self._send(leader, self._reply(False, 0, hint, message.heartbeat_round, message.sent_at))
 
     def _store_entries(self, message: AppendEntries) -> None:
         for position, entry in enumerate(message.entries):
@@ -64,7 +64,7 @@
                 continue
             if entry.index <= self.log.last_index:
                 self.log.truncate(entry.index)
-                self.durability.truncated(entry.index)
+                self.durability.record_truncation(entry.index)
             self.log.append(message.entries[position:])
             return
 
@@ -83,17 +83,24 @@
 
     def _reply(self, success: bool, match: int, hint: int, number: int, sent_at: int) -> AppendEntriesReply:
         return AppendEntriesReply(
-            self.term, success, match, hint, number, sent_at, self.incarnation, self.recovering
+            term=self.term,
+            success=success,
+            match=match,
+            hint=hint,
+            heartbeat_round=number,
+            sent_at=sent_at,
+            incarnation=self.incarnation,
+            recovering=self.recovering,
         )
 
     def _end_recovering(self, leader: str, message: AppendEntries) -> None:
         """Take the leader's word that a majority of others stands behind it; vote in later terms only."""
-        if self._recovered_marked or message.recover_incarnation != self.incarnation:
+        if self._recovery_recorded or message.recover_incarnation != self.incarnation:
             return
         if self._verified_index < message.recover_index:
             return
         self.voted_for = leader
-        self._recovered_marked = True
+        self._recovery_recorded = True
         self._change_hard_state()
 
     def _on_install_snapshot(self, leader: str, message: InstallSnapshot) -> None:
@@ -106,54 +113,59 @@
                 self._replace_log(message)
         self._verified_index = max(self._verified_index, message.index)
         reply = InstallSnapshotReply(
-            self.term, message.index, message.round, message.sent_at, self.incarnation, self.recovering
+            term=self.term,
+            match=message.index,
+            heartbeat_round=message.heartbeat_round,
+            sent_at=message.sent_at,
+            incarnation=self.incarnation,
+            recovering=self.recovering,
         )
         self._send_when_durable(leader, reply)
 
     def _replace_log(self, message: InstallSnapshot) -> None:
         snapshot = Snapshot(message.index, message.entry_term, Members.of(message.members), message.data)
         self.log.reset(snapshot)
-        self.durability.reset(snapshot)
+        self.durability.record_reset(snapshot)
         self.commit_index = self.applied_index = snapshot.index
         self._installed = snapshot
 
-    def _on_piece(self, leader: str, piece: Piece) -> None:
-        if not self._accept_leader(leader, piece.term):
+    def _on_message_chunk(self, leader: str, chunk: MessageChunk) -> None:
+        if not self._accept_leader(leader, chunk.term):
             return
-        if self._has_what_it_brings(piece):
-            self._verified_index = max(self._verified_index, piece.index)
-            received, whole = piece.total, None
+        if self._has_what_it_brings(chunk):
+            self._verified_index = max(self._verified_index, chunk.index)
+            received, payload = chunk.total, None
         else:
-            received, whole = self._pieces.take(piece)
-        self._answer_piece(leader, piece, received)
-        if whole is not None:
-            self._take_whole(leader, piece, whole)
+            received, payload = self._chunk_receiver.add(chunk)
+        self._acknowledge_chunk(leader, chunk, received)
+        if payload is not None:
+            self._handle_payload(leader, chunk, payload)
 
-    def _has_what_it_brings(self, piece: Piece) -> bool:
+    def _has_what_it_brings(self, chunk: MessageChunk) -> bool:
         """Whether the log agrees with the leader's up to there: it is committed, or of the same term."""
-        return piece.index <= self.commit_index or self.log.term_at(piece.index) == piece.entry_term
-
-    def _answer_piece(self, leader: str, piece: Piece, received: int) -> None:
-        reply = PieceReply(
-            self.term,
-            piece.checksum,
-            piece.offset,
-            received,
-            piece.round,
-            piece.sent_at,
-            self.incarnation,
-            self.recovering,
+        return chunk.index <= self.commit_index or self.log.term_at(chunk.index) == chunk.entry_term
+
+    def _acknowledge_chunk(self, leader: str, chunk: MessageChunk, received: int) -> None:
+        reply = MessageChunkReply(
+            term=self.term,
+            checksum=chunk.checksum,
+            offset=chunk.offset,
+            received=received,
+            heartbeat_round=chunk.heartbeat_round,
+            sent_at=chunk.sent_at,
+            incarnation=self.incarnation,
+            recovering=self.recovering,
         )
         if self._term_is_durable:
             self._send(leader, reply)
         else:
             self._send_when_durable(leader, reply)
 
-    def _take_whole(self, leader: str, piece: Piece, data: bytes) -> None:
+    def _handle_payload(self, leader: str, chunk: MessageChunk, data: bytes) -> None:
         """Handle the message that the pieces add up to."""
         try:
             message = decode(data)
         except MessageError:
             return
-        if isinstance(message, InstallSnapshot | AppendEntries) and message.term == piece.term:
+        if isinstance(message, InstallSnapshot | AppendEntries) and message.term == chunk.term:
             self._handle(leader, message)
--- a/hopsail/replication/generation.py
+++ b/hopsail/replication/generation.py
@@ -15,7 +15,7 @@
 
 INDEX_LINE = re.compile(rb"'(\d{12})', \((\d{1,15}), (\d{1,15})\)\n\Z")
 SUFFIXES = (".dir", ".dat")
-BLOCK = 512
+BLOCK_BYTES = 512
 
 
 class _AppendOnlyDatabase(_Database):
@@ -49,7 +49,7 @@
     serial: int = 1
 
 
-class Found(NamedTuple):
+class IndexedRecord(NamedTuple):
     """A line of the index: the value it points to, None if it is damaged, and the sizes up to its end."""
 
     value: bytes | None
@@ -72,14 +72,14 @@
         """The name of a generation's files, without suffix."""
         return f"log-{number:06d}"
 
-    def read(self) -> Iterator[Found]:
+    def read(self) -> Iterator[IndexedRecord]:
         """Each line of the index, without `dbm.dumb`, which would fail on torn lines."""
         index, data = (self._contents(suffix) for suffix in SUFFIXES)
         sizes = Sizes()
         for line in index.splitlines(keepends=True):
             value, end = self._value(line, sizes.serial, data)
             sizes = Sizes(sizes.index + len(line), max(end, sizes.data), sizes.serial + 1)
-            yield Found(value, sizes)
+            yield IndexedRecord(value, sizes)
 
     def _contents(self, suffix: str) -> bytes:
         try:
@@ -94,7 +94,7 @@
         if found is None or int(found[1]) != serial:
             return None, 0
         start, size = int(found[2]), int(found[3])
-        if start % BLOCK or start + size > len(data):
+        if start % BLOCK_BYTES or start + size > len(data):
             return None, 0
         return data[start : start + size], start + size
 
--- a/hopsail/replication/leading.py
+++ b/hopsail/replication/leader_role.py
@@ -14,60 +14,60 @@
 
 from .core import Role
 from .membership_changes import MembershipChanges
-from .messages import AppendEntriesReply, EntryKind, InstallSnapshotReply, PieceReply
+from .messages import AppendEntriesReply, EntryKind, InstallSnapshotReply, MessageChunkReply
 from .progress import Progress
-from .sending import Sending
+from .log_sender import LogSender
 from .state import Busy, NotLeader
 
 
-class Leading(Sending, MembershipChanges):
+class LeaderRole(LogSender, MembershipChanges):
     """Leads a term."""
 
     def _become_leader(self) -> None:
         self._start_leader_state()
         self.role = Role.LEADER
-        self._end_freshness()
+        self._record_leader_seen()
         self.leader = self.identity
-        self._heard_quorum_since = self.now
-        self._meet_members()
+        self._leading_since = self.now
+        self._update_member_progress()
         bootstrapping = self.log.last_index == 0
         kind = EntryKind.MEMBERS if bootstrapping else EntryKind.NOOP
         data = self.members.encode() if bootstrapping else b""
         self._first_of_term = self._append_entry(kind, data)
-        self._round_wanted = True
+        self._heartbeat_wanted = True
 
     # Replies.
 
     def _on_append_entries_reply(self, peer: str, reply: AppendEntriesReply) -> None:
-        progress = self._take_reply(peer, reply)
+        progress = self._process_reply(peer, reply)
         if progress is None:
             return
         if reply.success:
-            progress.matched(reply.match)
+            progress.record_match(reply.match)
             if not progress.needs_snapshot:
                 progress.probing = False
             self._after_match(progress)
         elif not progress.needs_snapshot:
-            progress.transfer = None
+            progress.chunk_sender = None
             progress.next = max(progress.match, min(reply.hint, progress.next - 1)) + 1
             progress.probing = progress.send_now = True
 
     def _on_install_snapshot_reply(self, peer: str, reply: InstallSnapshotReply) -> None:
-        progress = self._take_reply(peer, reply)
+        progress = self._process_reply(peer, reply)
         if progress is None:
             return
-        progress.matched(reply.match)
+        progress.record_match(reply.match)
         if not progress.needs_snapshot:
             progress.probing = False
         self._after_match(progress)
 
-    def _on_piece_reply(self, peer: str, reply: PieceReply) -> None:
-        progress = self._take_reply(peer, reply)
-        if progress is not None and progress.transfer is not None:
-            progress.transfer.answered(reply, self.now)
+    def _on_message_chunk_reply(self, peer: str, reply: MessageChunkReply) -> None:
+        progress = self._process_reply(peer, reply)
+        if progress is not None and progress.chunk_sender is not None:
+            progress.chunk_sender.record_reply(reply, self.now)
 
-    def _take_reply(
-        self, peer: str, reply: AppendEntriesReply | InstallSnapshotReply | PieceReply
+    def _process_reply(
+        self, peer: str, reply: AppendEntriesReply | InstallSnapshotReply | MessageChunkReply
     ) -> Progress | None:
         """The progress of a member that has answered this leader in its term."""
         if reply.term > self.term:
@@ -76,12 +76,16 @@
         progress = self._progress.get(peer)
         if reply.term < self.term or not self.is_leader or progress is None:
             return None
-        if not progress.meets(reply.incarnation, reply.recovering, self.log.last_index, reply.sent_at):
+        if not progress.accept_incarnation(
+            reply.incarnation, reply.recovering, self.log.last_index, reply.sent_at
+        ):
             return None
         if progress.recovering and not progress.barrier_index:
             progress.barrier_index = self._append_entry(EntryKind.NOOP, b"")
-        progress.heard_at = self.now
-        progress.acknowledged_round = max(progress.acknowledged_round, reply.round)
+        progress.last_reply_at = self.now
+        progress.acknowledged_heartbeat_round = max(
+            progress.acknowledged_heartbeat_round, reply.heartbeat_round
+        )
         progress.acknowledged_sent_at = max(progress.acknowledged_sent_at, reply.sent_at)
         return progress
 
@@ -100,7 +104,7 @@
             progress.send_now = progress.send_now or self._may_recover(progress)
         self._finish_change()
         if self._is_removed():
-            self._hand_over(self._best_successor())
+            self._step_down_for(self._best_successor())
 
     def _may_commit(self, index: int) -> bool:
         """Whether counting suffices: entries of earlier terms need one of this term after them."""
@@ -119,5 +123,5 @@
             raise NotLeader(self.leader)
         if self._successor is not None:
             raise Busy("the leadership is being handed over")
-        if self.log.last_index - self.commit_index >= self.rules.most_uncommitted:
+        if self.log.last_index - self.commit_index >= self.config.max_uncommitted_entries:
             raise Busy("too many entries are not committed yet")
--- a/hopsail/replication/hand_over.py
+++ b/hopsail/replication/leadership_transfers.py
@@ -6,7 +6,7 @@
 from .state import NotLeader
 
 
-class HandOver(ReplicaCore):
+class LeadershipTransfers(ReplicaCore):
     """Names a successor that holds the whole log, and steps down."""
 
     def transfer(self, now: int, successor: str | None = None) -> bool:
@@ -23,7 +23,7 @@
         if not able or self._progress[chosen].recovering:
             return False
         self._successor = chosen
-        self._transfer_until = now + self.rules.election_least
+        self._transfer_until = now + self.config.min_election_timeout_ns
         self._progress[chosen].send_now = True
         self._continue_transfer()
         return True
@@ -32,24 +32,24 @@
         if self._successor is None or not self.is_leader:
             return
         if self._progress[self._successor].match >= self.log.last_index:
-            self._hand_over(self._successor)
+            self._step_down_for(self._successor)
         elif self.now >= self._transfer_until:
             self._successor = None
 
-    def _hand_over(self, successor: str | None) -> None:
+    def _step_down_for(self, successor: str | None) -> None:
         """Step down, so that the lease is over for good, then name the successor."""
         self._become_follower(self.term, None)
-        self._leader_heard_at = NEVER
+        self._last_leader_contact_at = NEVER
         if successor is not None:
-            self._send(successor, TimeoutNow(self.term))
+            self._send(successor, TimeoutNow(term=self.term))
 
     def _best_successor(self) -> str | None:
         """The voter heard of lately whose log is longest."""
         able = [
-            (progress.match, progress.heard_at, peer)
+            (progress.match, progress.last_reply_at, peer)
             for peer, progress in self._progress.items()
             if peer in self.voters
             and not progress.recovering
-            and self.now - progress.heard_at < self.rules.election_least
+            and self.now - progress.last_reply_at < self.config.min_election_timeout_ns
         ]
         return max(able)[2] if able else None
--- a/hopsail/replication/leases.py
+++ b/hopsail/replication/leases.py
@@ -9,12 +9,12 @@
 
     def _check_quorum(self) -> None:
         """Step down when no majority has answered for the least election timeout."""
-        if self.now - self._quorum_heard_at() >= self.rules.election_least:
+        if self.now - self._last_quorum_contact_at() >= self.config.min_election_timeout_ns:
             self._become_follower(self.term, None)
 
-    def _quorum_heard_at(self) -> int:
-        heard = self._majority(self.now, lambda progress: progress.heard_at)
-        return max(heard, self._heard_quorum_since)
+    def _last_quorum_contact_at(self) -> int:
+        heard = self._majority(self.now, lambda progress: progress.last_reply_at)
+        return max(heard, self._leading_since)
 
     @property
     def _has_committed_in_term(self) -> bool:
@@ -25,20 +25,20 @@
         if not self._has_committed_in_term or self.durability.failing:
             return False
         sent_at = self._majority(now, lambda progress: progress.acknowledged_sent_at)
-        return now - sent_at < self.rules.lease
+        return now - sent_at < self.config.lease_duration_ns
 
     def read_index(self, now: int) -> ReadToken:
         """Begin a linearizable read; raises NotLeader. Ask `read_ready` with the token later."""
         self.now = now
         if not self.is_leader:
             raise NotLeader(self.leader)
-        self._round_wanted = True
+        self._heartbeat_wanted = True
         index = max(self.commit_index, self._first_of_term)
-        return ReadToken(self.term, self._round + 1, index)
+        return ReadToken(term=self.term, heartbeat_round=self._heartbeat_round + 1, index=index)
 
     def read_ready(self, token: ReadToken) -> bool | None:
         """Whether the read may use the state applied so far; None if the leadership was lost before."""
         if not self.is_leader or token.term != self.term:
             return None
-        number = self._majority(self._round, lambda progress: progress.acknowledged_round)
-        return number >= token.round and self.applied_index >= token.index
+        number = self._majority(self._heartbeat_round, lambda progress: progress.acknowledged_heartbeat_round)
+        return number >= token.heartbeat_round and self.applied_index >= token.index
--- a/hopsail/replication/log.py
+++ b/hopsail/replication/log.py
@@ -5,10 +5,10 @@
 from .messages import Entry, EntryKind
 from .state import Members, Snapshot
 
-RETAINED = 64  # entries kept in memory below the snapshot, for followers a little behind
+RETAINED_ENTRIES = 64  # entries kept in memory below the snapshot, for followers a little behind
 RETAINED_BYTES = 1 << 20  # of these
-MOST_RETAINED_BYTES = 8 << 20  # where a member needs them that is catching up
-ENTRY_BYTES = 16  # counted for each entry besides its data
+MAX_RETAINED_BYTES = 8 << 20  # where a member needs them that is catching up
+ENTRY_OVERHEAD_BYTES = 16  # counted for each entry besides its data
 
 
 class Log:
@@ -51,7 +51,7 @@
         return self._members[-1][0]
 
     @property
-    def electors_before(self) -> tuple[str, ...]:
+    def previous_electors(self) -> tuple[str, ...]:
         """Those whose votes counted before that change, as far as the log still tells."""
         return self._members[-2][1].electors if len(self._members) > 1 else ()
 
@@ -69,15 +69,15 @@
         end = min(max(last - self.base_index, first), len(self._entries))
         return self._ends[end] - self._ends[first]
 
-    def slice(self, first: int, last: int, most_bytes: int | None = None) -> list[Entry]:
-        """The entries from `first` to `last`; not more than about `most_bytes`, but at least one."""
+    def slice(self, first: int, last: int, max_bytes: int | None = None) -> list[Entry]:
+        """The entries from `first` to `last`; not more than about `max_bytes`, but at least one."""
         chosen = self._entries[first - self.base_index - 1 : last - self.base_index]
-        if most_bytes is None:
+        if max_bytes is None:
             return chosen
         size = 0
         for number, entry in enumerate(chosen):
             size += len(entry.data)
-            if number and size > most_bytes:
+            if number and size > max_bytes:
                 return chosen[:number]
         return chosen
 
@@ -87,7 +87,7 @@
             if entry.index != self.last_index + 1:
                 raise ValueError(f"entry {entry.index} does not follow {self.last_index}")
             self._entries.append(entry)
-            self._ends.append(self._ends[-1] + len(entry.data) + ENTRY_BYTES)
+            self._ends.append(self._ends[-1] + len(entry.data) + ENTRY_OVERHEAD_BYTES)
             if entry.kind == EntryKind.MEMBERS:
                 self._members.append((entry.index, Members.decode(entry.data)))
 
@@ -114,9 +114,9 @@
 
         Those after `needed_after` are kept as well, up to a bound, for a member that is catching up."""
         self.snapshot = snapshot
-        base = self._bounded(max(snapshot.index - RETAINED, 0), snapshot.index, RETAINED_BYTES)
+        base = self._bounded_base(max(snapshot.index - RETAINED_ENTRIES, 0), snapshot.index, RETAINED_BYTES)
         if needed_after is not None and needed_after < base:
-            base = self._bounded(needed_after, snapshot.index, MOST_RETAINED_BYTES)
+            base = self._bounded_base(needed_after, snapshot.index, MAX_RETAINED_BYTES)
         base = max(base, self.base_index)
         term = self.term_at(base)
         del self._entries[: base - self.base_index]
@@ -125,10 +125,10 @@
         while len(self._members) > 1 and self._members[1][0] <= base:
             self._members.pop(0)
 
-    def _bounded(self, base: int, last: int, most_bytes: int) -> int:
+    def _bounded_base(self, base: int, last: int, max_bytes: int) -> int:
         """The least index from `base` on after which, up to `last`, there are at most so many bytes."""
         base = max(base, self.base_index)
-        least = self._ends[last - self.base_index] - most_bytes
+        least = self._ends[last - self.base_index] - max_bytes
         return max(base, self.base_index + bisect_left(self._ends, least))
 
     def reset(self, snapshot: Snapshot) -> None:
--- a/hopsail/replication/member_requests.py
+++ b/hopsail/replication/member_requests.py
@@ -11,13 +11,13 @@
 from .progress import NEVER
 from .state import MILLISECOND
 
-ASK_EVERY = 100 * MILLISECOND
-WITHOUT_LEADER = 1500 * MILLISECOND  # after which one that leaves and hears no leader waits no longer
-APPLICATION_LASTS = 2000 * MILLISECOND
-LISTENS = (
+LEAVE_REQUEST_INTERVAL_NS = 100 * MILLISECOND
+LEADERLESS_TIMEOUT_NS = 1500 * MILLISECOND  # after which one that leaves and hears no leader waits no longer
+MEMBER_REQUEST_TTL_NS = 2000 * MILLISECOND
+NEW_LEADER_GRACE_NS = (
     300 * MILLISECOND
 )  # a new leader, before it lets anyone go: those who would be members ask meanwhile
-MOST_REQUESTS = 64
+MAX_MEMBER_REQUESTS = 64
 
 
 class MemberRequests(ReplicaCore):
@@ -28,46 +28,53 @@
     def ask_to_join(self, now: int, peers: Iterable[str]) -> None:
         """Tell these that this replica would receive the log, unless it does."""
         self.now = max(now, self.now)
-        heard = self.is_leader or self.now - self._leader_heard_at < WITHOUT_LEADER
-        if self._leaves_since is not None or (heard and self.identity in self.members.all):
+        heard = self.is_leader or self.now - self._last_leader_contact_at < LEADERLESS_TIMEOUT_NS
+        if self._leaving_since is not None or (heard and self.identity in self.members.all):
             return
         for peer in peers:
             if peer != self.identity:
-                self._send(peer, MemberRequest(False))
+                self._send(peer, MemberRequest(leaving=False))
 
     def leave(self, now: int) -> None:
         """This replica is to end: ask the leader from now on. A leader should hand over first."""
         self.now = max(now, self.now)
-        if self._leaves_since is None:
-            self._leaves_since = self._ask_at = self.now
+        if self._leaving_since is None:
+            self._leaving_since = self._leave_request_at = self.now
 
     def may_leave(self, now: int) -> bool:
         """Whether this replica is needed no more, or nobody is there to say so."""
-        if self._leaves_since is None:
+        if self._leaving_since is None:
             return False
         if self.is_leader:
             return self.members.all == (self.identity,)
-        if self._let_go or not self.members.all:
+        if self._leave_granted or not self.members.all:
             return True
-        return now - max(self._leaves_since, self._leader_heard_at) > WITHOUT_LEADER
+        return now - max(self._leaving_since, self._last_leader_contact_at) > LEADERLESS_TIMEOUT_NS
 
-    def _ask_to_leave(self) -> None:
-        if self._leaves_since is None or self.now < self._ask_at:
+    def _request_leave(self) -> None:
+        if self._leaving_since is None or self.now < self._leave_request_at:
             return
-        self._ask_at = self.now + ASK_EVERY
-        if self.leader not in (None, self.identity) and not self._let_go:
-            self._send(self.leader, MemberRequest(True))
+        self._leave_request_at = self.now + LEAVE_REQUEST_INTERVAL_NS
+        if self.leader not in (None, self.identity) and not self._leave_granted:
+            self._send(self.leader, MemberRequest(leaving=True))
 
     def _on_leave_reply(self, leader: str, reply: LeaveReply) -> None:
-        if self._leaves_since is None or reply.term != self.term or leader != self.leader or reply.index <= 0:
+        if (
+            self._leaving_since is None
+            or reply.term != self.term
+            or leader != self.leader
+            or reply.index <= 0
+        ):
             return
-        if self._held_index is None:
-            self._held_index = self.durability.durable_index
-        self._let_go = self._let_go or reply.index >= min(self._held_index, self.durability.durable_index)
+        if self._acknowledgement_limit is None:
+            self._acknowledgement_limit = self.durability.durable_index
+        self._leave_granted = self._leave_granted or reply.index >= min(
+            self._acknowledgement_limit, self.durability.durable_index
+        )
 
     def _acknowledged_index(self) -> int:
         index = super()._acknowledged_index()
-        return index if self._held_index is None else min(index, self._held_index)
+        return index if self._acknowledgement_limit is None else min(index, self._acknowledgement_limit)
 
     # The leader's side.
 
@@ -75,22 +82,24 @@
         if not self.is_leader:
             return
         known = self._leaving if request.leaving else self._applicants
-        if sender in known or len(known) < MOST_REQUESTS:
+        if sender in known or len(known) < MAX_MEMBER_REQUESTS:
             known[sender] = self.now
         if request.leaving:
-            self._send(sender, LeaveReply(self.term, self._index_without(sender)))
+            self._send(sender, LeaveReply(term=self.term, index=self._index_without(sender)))
 
     @property
     def applicants(self) -> list[str]:
         """Those who have lately asked to receive the log, and are no members."""
         self._applicants = {
-            name: asked for name, asked in self._applicants.items() if self.now - asked < APPLICATION_LASTS
+            name: asked
+            for name, asked in self._applicants.items()
+            if self.now - asked < MEMBER_REQUEST_TTL_NS
         }
         return [name for name in self._applicants if name not in self.members.all]
 
     def is_leaving(self, identity: str) -> bool:
         """Whether a member has said lately that it is to end."""
-        return self.now - self._leaving.get(identity, NEVER) < APPLICATION_LASTS
+        return self.now - self._leaving.get(identity, NEVER) < MEMBER_REQUEST_TTL_NS
 
     def _index_without(self, identity: str) -> int:
         """Up to where the log is on a majority without a member; 0 while it is to be replaced."""
@@ -102,13 +111,16 @@
 
     def _may_be_replaced(self) -> bool:
         """Whether a learner may vote in the place of another, or this new leader has yet to hear who asks."""
-        if self.now - self._heard_quorum_since < LISTENS or self.applicants:
+        if self.now - self._leading_since < NEW_LEADER_GRACE_NS or self.applicants:
             return True
-        return any(self._is_there(name) for name in self.members.learners if not self.is_leaving(name))
+        return any(self._is_reachable(name) for name in self.members.learners if not self.is_leaving(name))
 
-    def _is_there(self, learner: str) -> bool:
+    def _is_reachable(self, learner: str) -> bool:
         """Whether a learner has answered lately, or asked to be one."""
         progress = self._progress.get(learner)
-        heard_at = progress.heard_at if progress else NEVER
+        last_reply_at = progress.last_reply_at if progress else NEVER
         asked_at = self._applicants.get(learner, NEVER)
-        return self.now - heard_at < self.rules.election_least or self.now - asked_at < APPLICATION_LASTS
+        return (
+            self.now - last_reply_at < self.config.min_election_timeout_ns
+            or self.now - asked_at < MEMBER_REQUEST_TTL_NS
+        )
--- a/hopsail/replication/membership_changes.py
+++ b/hopsail/replication/membership_changes.py
@@ -13,20 +13,20 @@
 
 from dataclasses import replace
 
-from .hand_over import HandOver
+from .leadership_transfers import LeadershipTransfers
 from .leases import Leases
 from .messages import EntryKind
 from .progress import NEVER, Progress
 from .state import Busy, Members
 
-CAUGHT_UP_WITHIN = 16  # entries
-MOST_FORMER = 64  # members that went in this term, of which is known what they last said
+MAX_CAUGHT_UP_LAG_ENTRIES = 16  # entries
+MAX_FORMER_MEMBERS = 64  # members that went in this term, of which is known what they last said
 
 
-class MembershipChanges(Leases, HandOver):
+class MembershipChanges(Leases, LeadershipTransfers):
     """Proposes changes of members, one at a time, and finishes those that it finds."""
 
-    def _meet_members(self) -> None:
+    def _update_member_progress(self) -> None:
         """Have a progress for each other member, and for nobody else.
 
         That of a member which goes is kept for its return in this term: without its incarnations, a late
@@ -35,16 +35,16 @@
         others = [identity for identity in self.members.all if identity != self.identity]
         for identity, progress in self._progress.items():
             if identity not in others:
-                progress.transfer = None  # a snapshot that nobody waits for any more
-                self._former[identity] = progress
+                progress.chunk_sender = None  # a snapshot that nobody waits for any more
+                self._former_progress[identity] = progress
         self._progress = {identity: self._progress_of(identity) for identity in others}
-        while len(self._former) > MOST_FORMER:
-            del self._former[next(iter(self._former))]
+        while len(self._former_progress) > MAX_FORMER_MEMBERS:
+            del self._former_progress[next(iter(self._former_progress))]
 
     def _progress_of(self, identity: str) -> Progress:
         progress = self._progress.get(identity)
-        if progress is None and (progress := self._former.pop(identity, None)):
-            progress.has_returned(self.log.last_index)
+        if progress is None and (progress := self._former_progress.pop(identity, None)):
+            progress.reset_contact(self.log.last_index)
         return progress or Progress(self.log.last_index)
 
     def _check_proposal(self, now: int) -> None:
@@ -73,7 +73,7 @@
 
     def _append_members(self, members: Members) -> int:
         index = self._append_entry(EntryKind.MEMBERS, members.encode())
-        self._meet_members()
+        self._update_member_progress()
         return index
 
     def _finish_change(self) -> None:
@@ -90,15 +90,17 @@
         progress = self._progress.get(identity)
         return progress.match if progress else 0
 
-    def last_heard(self, identity: str) -> int | None:
+    def last_reply_time(self, identity: str) -> int | None:
         """When a member last answered this leader in its term; None if it has not."""
         progress = self._progress.get(identity)
-        return progress.heard_at if progress and progress.heard_at != NEVER else None
+        return progress.last_reply_at if progress and progress.last_reply_at != NEVER else None
 
     def is_caught_up(self, identity: str) -> bool:
         """Whether a member may become a voter: heard of lately, not recovering, few entries behind."""
         progress = self._progress.get(identity)
         if progress is None or progress.recovering or not self._has_committed_in_term:
             return False
-        recent = self.now - progress.heard_at < self.rules.election_least
-        return recent and progress.match + CAUGHT_UP_WITHIN >= self.log.last_index >= progress.match > 0
+        recent = self.now - progress.last_reply_at < self.config.min_election_timeout_ns
+        return (
+            recent and progress.match + MAX_CAUGHT_UP_LAG_ENTRIES >= self.log.last_index >= progress.match > 0
+        )
--- /dev/null
+++ b/hopsail/replication/message_chunks.py
@@ -0,0 +1,149 @@
+"""Long messages cut into pieces, so that heartbeats pass between them. Pure: no I/O, no clock.
+
+A piece names the whole that it is of by index, term, length and checksum. Pieces are taken in order only;
+each is answered with how much of the whole the receiver holds, and the sender goes on from there after
+whatever was lost. What has been received is kept in memory: a receiver that restarts is sent the whole
+anew, which costs a bounded time, where pieces on disk would cost writes and a third state to tell apart
+after a loss of power.
+"""
+
+from dataclasses import dataclass
+from hashlib import blake2b
+
+from .messages import MessageChunk, MessageChunkReply
+
+CHUNK_BYTES = 32 << 10  # 52 ms on 5 Mbit/s
+MIN_WINDOW_CHUNKS = 2  # pieces sent and not yet answered
+MAX_WINDOW_CHUNKS = 16
+MAX_BACKOFF_DOUBLINGS = 3  # doublings of the time without progress after which pieces are sent again
+CHECKSUM_BYTES = 16
+
+
+@dataclass(frozen=True)
+class EncodedMessage:
+    """An encoded message, to be sent in pieces. `last_index`: where a log ends that has taken it."""
+
+    last_index: int
+    entry_term: int
+    data: bytes
+    checksum: bytes
+    snapshot: object | None = None  # the Snapshot in it, None if it holds entries
+
+    @classmethod
+    def of(
+        cls, last_index: int, entry_term: int, data: bytes, snapshot: object | None = None
+    ) -> "EncodedMessage":
+        """With its checksum."""
+        return cls(last_index, entry_term, data, checksum_of(data), snapshot)
+
+
+def checksum_of(data: bytes) -> bytes:
+    """What tells one whole from another, and a damaged one from what was sent."""
+    return blake2b(data, digest_size=CHECKSUM_BYTES).digest()
+
+
+class ChunkSender:
+    """Sends one whole to one receiver: few pieces at a time, more while the answers come quickly."""
+
+    def __init__(self, payload: EncodedMessage, now: int, fast_reply_time: int, progress_timeout: int):
+        self.payload = payload
+        self.received = 0  # the receiver holds so much
+        self.window = MIN_WINDOW_CHUNKS
+        self._fast_reply_time, self._progress_timeout = fast_reply_time, progress_timeout
+        self._sent = 0
+        self._newest_reply_sent_at = 0  # when that was sent which the last answer taken was for
+        self._last_progress = now
+        self._backoff = 0
+        self._filled_gap = -1  # a gap there has been filled at once
+
+    def take_chunks(self, now: int) -> list[tuple[int, bytes]]:
+        """Offset and data of each piece to be sent now."""
+        if now - self._last_progress >= self._progress_timeout << self._backoff:
+            self._resend(now)
+        end = min(self.received + self.window * CHUNK_BYTES, len(self.payload.data))
+        chosen = []
+        while self._sent < end:
+            chosen.append((self._sent, self.payload.data[self._sent : self._sent + CHUNK_BYTES]))
+            self._sent += len(chosen[-1][1])
+        return chosen
+
+    def _resend(self, now: int) -> None:
+        """Nothing has come of what was sent: send what is missing, or ask with the first piece."""
+        self.window = MIN_WINDOW_CHUNKS
+        if self.received >= len(self.payload.data):
+            self.received, self.window = 0, 1
+        self._sent = self.received
+        self._last_progress = now
+        self._backoff = min(self._backoff + 1, MAX_BACKOFF_DOUBLINGS)
+
+    def record_reply(self, reply: MessageChunkReply, now: int) -> None:
+        """The receiver has told how much it holds."""
+        received, sent_at = reply.received, reply.sent_at
+        if reply.checksum != self.payload.checksum or not 0 <= received <= len(self.payload.data):
+            return
+        if sent_at < self._newest_reply_sent_at or (
+            sent_at == self._newest_reply_sent_at and received < self.received
+        ):
+            return
+        self._newest_reply_sent_at = sent_at
+        if received > self.received:
+            self._record_progress(received, now - sent_at, now)
+        elif received < self.received:
+            self._sent = received  # it has dropped what it had
+        elif received < reply.offset and received != self._filled_gap:
+            self._filled_gap = self._sent = (
+                received  # one before that piece is missing: once, go back at once
+            )
+        self.received = received
+        self._sent = max(self._sent, received)
+
+    def _record_progress(self, received: int, took: int, now: int) -> None:
+        self._last_progress = now
+        if received < len(self.payload.data):
+            self._backoff = 0
+        if took <= self._fast_reply_time:
+            self.window = min(self.window + 1, MAX_WINDOW_CHUNKS)
+        else:
+            self.window = max(self.window // 2, MIN_WINDOW_CHUNKS)
+
+
+class ChunkReceiver:
+    """Collects one whole at a time, of at most `max_bytes`."""
+
+    def __init__(self, max_bytes: int):
+        self._most_bytes = max_bytes
+        self._identity: tuple | None = None
+        self._data = bytearray()
+
+    @property
+    def buffered_bytes(self) -> int:
+        """How much is kept in memory."""
+        return len(self._data)
+
+    def add(self, chunk: MessageChunk) -> tuple[int, bytes | None]:
+        """How much of the piece's whole is held now, and the whole if that is all of it."""
+        if not 0 < chunk.total <= self._most_bytes:
+            return 0, None
+        identity = (chunk.index, chunk.entry_term, chunk.total, chunk.checksum)
+        if identity != self._identity:
+            if chunk.offset:
+                return 0, None
+            self._identity, self._data = identity, bytearray()
+        if chunk.offset == len(self._data) and len(self._data) + len(chunk.data) <= chunk.total:
+            self._data += chunk.data
+        if len(self._data) < chunk.total:
+            return len(self._data), None
+        payload = bytes(self._data)
+        self.drop()
+        if checksum_of(payload) != chunk.checksum:
+            return 0, None
+        return chunk.total, payload
+
+    def drop_up_to(self, index: int) -> None:
+        """Forget a whole that ends at `index` or before."""
+        if self._identity is not None and self._identity[0] <= index:
+            self.drop()
+
+    def drop(self) -> None:
+        """Forget what has been received."""
+        self._identity, self._data = None, bytearray()
--- a/hopsail/replication/messages.py
+++ b/hopsail/replication/messages.py
@@ -58,23 +58,23 @@
 
 
 class RequestVote(Struct):
-    """Asks for a vote in `term`; `pre`: would it be given; `transfer`: the leader named the sender.
+    """Asks for a vote in `term`; `pre_vote`: would it be given; `transfer`: the leader named the sender.
 
-    `life`: the voter's incarnation, if the sender knows that no leader relies on its earlier ones.
+    `incarnation`: the voter's incarnation, if the sender knows that no leader relies on its earlier ones.
     """
 
-    __slots__ = ("term", "last_index", "last_term", "pre", "transfer", "life")
-    optional = frozenset({"life"})
+    __slots__ = ("term", "last_index", "last_term", "pre_vote", "transfer", "incarnation")
+    optional = frozenset({"incarnation"})
     thrift_spec = _fields(
-        term=_LONG, last_index=_LONG, last_term=_LONG, pre=_BOOL, transfer=_BOOL, life=_LONG
+        term=_LONG, last_index=_LONG, last_term=_LONG, pre_vote=_BOOL, transfer=_BOOL, incarnation=_LONG
     )
 
 
 class RequestVoteReply(Struct):
     """Whether the vote is given; `term` is the asked one if granted, else the voter's own."""
 
-    __slots__ = ("term", "granted", "pre")
-    thrift_spec = _fields(term=_LONG, granted=_BOOL, pre=_BOOL)
+    __slots__ = ("term", "granted", "pre_vote")
+    thrift_spec = _fields(term=_LONG, granted=_BOOL, pre_vote=_BOOL)
 
 
 class AppendEntries(Struct):
@@ -85,7 +85,7 @@
     """
 
     __slots__ = (
-        "term", "prev_index", "prev_term", "commit", "round", "sent_at",
+        "term", "prev_index", "prev_term", "commit", "heartbeat_round", "sent_at",
         "recover_incarnation", "recover_index", "entries",
     )  # fmt: skip
     thrift_spec = _fields(
@@ -93,7 +93,7 @@
         prev_index=_LONG,
         prev_term=_LONG,
         commit=_LONG,
-        round=_LONG,
+        heartbeat_round=_LONG,
         sent_at=_LONG,
         recover_incarnation=_LONG,
         recover_index=_LONG,
@@ -104,13 +104,22 @@
 class AppendEntriesReply(Struct):
     """`match`: synced up to there, as the leader has it; `hint`: after a refusal, the last index to try."""
 
-    __slots__ = ("term", "success", "match", "hint", "round", "sent_at", "incarnation", "recovering")
+    __slots__ = (
+        "term",
+        "success",
+        "match",
+        "hint",
+        "heartbeat_round",
+        "sent_at",
+        "incarnation",
+        "recovering",
+    )
     thrift_spec = _fields(
         term=_LONG,
         success=_BOOL,
         match=_LONG,
         hint=_LONG,
-        round=_LONG,
+        heartbeat_round=_LONG,
         sent_at=_LONG,
         incarnation=_LONG,
         recovering=_BOOL,
@@ -120,12 +129,12 @@
 class InstallSnapshot(Struct):
     """The state machine's snapshot at (`index`, `entry_term`), for a follower behind the compacted log."""
 
-    __slots__ = ("term", "index", "entry_term", "round", "sent_at", "members", "data")
+    __slots__ = ("term", "index", "entry_term", "heartbeat_round", "sent_at", "members", "data")
     thrift_spec = _fields(
         term=_LONG,
         index=_LONG,
         entry_term=_LONG,
-        round=_LONG,
+        heartbeat_round=_LONG,
         sent_at=_LONG,
         members=(TType.STRUCT, [MembersRecord, MembersRecord.thrift_spec]),
         data=_BYTES,
@@ -135,13 +144,13 @@
 class InstallSnapshotReply(Struct):
     """The snapshot, or more, is synced: the log agrees with the leader's up to `match`."""
 
-    __slots__ = ("term", "match", "round", "sent_at", "incarnation", "recovering")
+    __slots__ = ("term", "match", "heartbeat_round", "sent_at", "incarnation", "recovering")
     thrift_spec = _fields(
-        term=_LONG, match=_LONG, round=_LONG, sent_at=_LONG, incarnation=_LONG, recovering=_BOOL
+        term=_LONG, match=_LONG, heartbeat_round=_LONG, sent_at=_LONG, incarnation=_LONG, recovering=_BOOL
     )
 
 
-class Piece(Struct):
+class MessageChunk(Struct):
     """A piece of an encoded message, InstallSnapshot or AppendEntries, too long to be sent at once.
 
     The whole is named by (`index`, `entry_term`) of the last entry that it brings, its length `total` and its
@@ -149,13 +158,13 @@
     """
 
     __slots__ = (
-        "term", "index", "entry_term", "round", "sent_at", "total", "checksum", "offset", "data",
+        "term", "index", "entry_term", "heartbeat_round", "sent_at", "total", "checksum", "offset", "data",
     )  # fmt: skip
     thrift_spec = _fields(
         term=_LONG,
         index=_LONG,
         entry_term=_LONG,
-        round=_LONG,
+        heartbeat_round=_LONG,
         sent_at=_LONG,
         total=_LONG,
         checksum=_BYTES,
@@ -164,18 +173,18 @@
     )
 
 
-class PieceReply(Struct):
+class MessageChunkReply(Struct):
     """After the piece at `offset`, `received` bytes of the whole, from its start, are held or done with."""
 
     __slots__ = (
-        "term", "checksum", "offset", "received", "round", "sent_at", "incarnation", "recovering",
+        "term", "checksum", "offset", "received", "heartbeat_round", "sent_at", "incarnation", "recovering",
     )  # fmt: skip
     thrift_spec = _fields(
         term=_LONG,
         checksum=_BYTES,
         offset=_LONG,
         received=_LONG,
-        round=_LONG,
+        heartbeat_round=_LONG,
         sent_at=_LONG,
         incarnation=_LONG,
         recovering=_BOOL,
@@ -211,11 +220,11 @@
 
 
 class RestartReply(Struct):
-    """`fresh`: neither led nor heard a leader in the life `incarnation`; `able`: may stand for election."""
+    """`fresh`: has neither led nor received anything of a leader in `incarnation`; `may_stand`: for election."""
 
-    __slots__ = ("number", "incarnation", "fresh", "able", "last_term", "last_index")
+    __slots__ = ("number", "incarnation", "fresh", "may_stand", "last_term", "last_index")
     thrift_spec = _fields(
-        number=_LONG, incarnation=_LONG, fresh=_BOOL, able=_BOOL, last_term=_LONG, last_index=_LONG
+        number=_LONG, incarnation=_LONG, fresh=_BOOL, may_stand=_BOOL, last_term=_LONG, last_index=_LONG
     )
 
 
@@ -227,8 +236,8 @@
     InstallSnapshot,
     InstallSnapshotReply,
     TimeoutNow,
-    Piece,
-    PieceReply,
+    MessageChunk,
+    MessageChunkReply,
     MemberRequest,
     LeaveReply,
     RestartQuery,
--- a/hopsail/replication/progress.py
+++ b/hopsail/replication/progress.py
@@ -3,10 +3,10 @@
 from collections import deque
 from collections.abc import Iterable
 
-from .pieces import PieceSender
+from .message_chunks import ChunkSender
 
 NEVER = -(1 << 62)  # a time before all others
-RETIRED_INCARNATIONS = 8
+MAX_PAST_INCARNATIONS = 8
 
 
 class Progress:
@@ -14,15 +14,15 @@
 
     def __init__(self, last_index: int):
         self.incarnation = 0
-        self.retired: deque[int] = deque(maxlen=RETIRED_INCARNATIONS)
+        self.past_incarnations: deque[int] = deque(maxlen=MAX_PAST_INCARNATIONS)
         self.answered_sent_at = NEVER  # the latest message that the present incarnation has answered
         self.forget(last_index)
-        self.has_returned(last_index)
+        self.reset_contact(last_index)
 
-    def has_returned(self, last_index: int) -> None:
+    def reset_contact(self, last_index: int) -> None:
         """The member is one again: only its incarnations, and whether the present one recovers, are known."""
-        self.heard_at = NEVER
-        self.acknowledged_round = 0
+        self.last_reply_at = NEVER
+        self.acknowledged_heartbeat_round = 0
         self.acknowledged_sent_at = NEVER
         self._probe(last_index)
 
@@ -38,21 +38,21 @@
         self.probing = True
         self.send_now = True
         self.sent_commit = 0
-        self.transfer: PieceSender | None = None  # a message under way in pieces
+        self.chunk_sender: ChunkSender | None = None  # a message under way in pieces
 
-    def meets(self, incarnation: int, recovering: bool, last_index: int, sent_at: int) -> bool:
+    def accept_incarnation(self, incarnation: int, recovering: bool, last_index: int, sent_at: int) -> bool:
         """Note a reply's incarnation; False if the reply is of an earlier one, or is outdated in this one.
 
         `sent_at` tells which message was answered. Messages reach a member in their order, so a later
         incarnation answers only those sent after all that an earlier one has had.
         """
-        if incarnation in self.retired:
+        if incarnation in self.past_incarnations:
             return False
         if incarnation != self.incarnation:
             if self.incarnation and sent_at <= self.answered_sent_at:
                 return False
             if self.incarnation:
-                self.retired.append(self.incarnation)
+                self.past_incarnations.append(self.incarnation)
                 self.forget(last_index)
             self.incarnation = incarnation
             self.recovering = recovering
@@ -64,17 +64,17 @@
         self.recovering = recovering
         return True
 
-    def matched(self, index: int) -> None:
+    def record_match(self, index: int) -> None:
         """The member has synced the leader's entries up to `index`."""
         self.match = max(self.match, index)
         self.next = max(self.next, index + 1)
-        if self.transfer and self.match >= self.transfer.whole.last_index:
-            self.transfer = None
+        if self.chunk_sender and self.match >= self.chunk_sender.payload.last_index:
+            self.chunk_sender = None
 
     @property
     def needs_snapshot(self) -> bool:
         """Whether a snapshot is under way to the member."""
-        return self.transfer is not None and self.transfer.whole.snapshot is not None
+        return self.chunk_sender is not None and self.chunk_sender.payload.snapshot is not None
 
 
 def majority_value(values: Iterable[int]) -> int:
--- a/hopsail/replication/chunks.py
+++ b/hopsail/replication/record_chunks.py
@@ -7,31 +7,31 @@
 from collections.abc import Iterator
 from hashlib import blake2b
 
-MOST_CHUNK = 4 << 20  # bytes; about 45 ms of a disk that takes 90 MB a second
-MARK = b"\xff\xff\xff\xff"
+MAX_CHUNK_BYTES = 4 << 20  # bytes; about 45 ms of a disk that takes 90 MB a second
+CHUNK_MARKER = b"\xff\xff\xff\xff"
 COUNT_BYTES = 4
 CHECKSUM_BYTES = 8
-HEAD_BYTES = len(MARK) + CHECKSUM_BYTES
+HEADER_BYTES = len(CHUNK_MARKER) + CHECKSUM_BYTES
 
 
 def is_long(value: bytes) -> bool:
     """Whether a value is cut."""
-    return len(value) > MOST_CHUNK
+    return len(value) > MAX_CHUNK_BYTES
 
 
-def cut(value: bytes) -> Iterator[bytes]:
+def split(value: bytes) -> Iterator[bytes]:
     """The records that a value is written in; each is made when it is needed."""
     if not is_long(value):
         yield value
         return
-    starts = range(0, len(value), MOST_CHUNK)
+    starts = range(0, len(value), MAX_CHUNK_BYTES)
     for remaining, start in zip(reversed(range(len(starts))), starts, strict=True):
-        yield _chunk(remaining, value[start : start + MOST_CHUNK])
+        yield _chunk(remaining, value[start : start + MAX_CHUNK_BYTES])
 
 
 def _chunk(remaining: int, data: bytes) -> bytes:
     content = remaining.to_bytes(COUNT_BYTES, "big") + data
-    return MARK + _checksum(content) + content
+    return CHUNK_MARKER + _checksum(content) + content
 
 
 def _checksum(content: bytes) -> bytes:
@@ -51,12 +51,12 @@
         """Whether chunks of a value are still to come."""
         return bool(self._chunks)
 
-    def take(self, record: bytes | None) -> bytes | None:
+    def add(self, record: bytes | None) -> bytes | None:
         """The value that a record ends; None if it ends none, or is damaged."""
         chunk = self._chunk_in(record)
         if chunk is None:
             self._chunks = []
-            return None if record is None or record.startswith(MARK) else record
+            return None if record is None or record.startswith(CHUNK_MARKER) else record
         remaining, data = chunk
         self._chunks.append(data)
         if remaining:
@@ -67,9 +67,9 @@
     @staticmethod
     def _chunk_in(record: bytes | None) -> tuple[int, bytes] | None:
         """How many chunks follow, and the data."""
-        if record is None or not record.startswith(MARK):
+        if record is None or not record.startswith(CHUNK_MARKER):
             return None
-        content = record[HEAD_BYTES:]
-        if record[len(MARK) : HEAD_BYTES] != _checksum(content):
+        content = record[HEADER_BYTES:]
+        if record[len(CHUNK_MARKER) : HEADER_BYTES] != _checksum(content):
             return None
         return int.from_bytes(content[:COUNT_BYTES], "big"), content[COUNT_BYTES:]
--- a/hopsail/replication/records.py
+++ b/hopsail/replication/records.py
@@ -12,13 +12,13 @@
 
 LENGTH_BYTES = 4
 CHECKSUM_BYTES = 8
-ENTRY_OVERHEAD = 16
+ENTRY_OVERHEAD_BYTES = 16
 
 
-class PartWrite(NamedTuple):
+class ShardWrite(NamedTuple):
     """What one part has to store."""
 
-    part: str
+    shard: str
     ready: Ready
 
 
@@ -46,13 +46,13 @@
     )
 
 
-class PartRecord(Struct):
+class ShardRecord(Struct):
     """A PartWrite; applied in the order of the fields."""
 
-    __slots__ = ("part", "hard_state", "truncate_from", "snapshot", "entries")
+    __slots__ = ("shard", "hard_state", "truncate_from", "snapshot", "entries")
     optional = frozenset({"hard_state", "truncate_from", "snapshot"})
     thrift_spec = specification(
-        (TType.STRING, "part", "UTF8"),
+        (TType.STRING, "shard", "UTF8"),
         (TType.STRUCT, "hard_state", [HardStateRecord, HardStateRecord.thrift_spec]),
         (TType.I64, "truncate_from", None),
         (TType.STRUCT, "snapshot", [SnapshotRecord, SnapshotRecord.thrift_spec]),
@@ -63,9 +63,9 @@
 class SectionRecord(Struct):
     """Where in a group commit the record of a part is: after those before it."""
 
-    __slots__ = ("part", "size", "checksum")
+    __slots__ = ("shard", "size", "checksum")
     thrift_spec = specification(
-        (TType.STRING, "part", "UTF8"), (TType.I64, "size", None), (TType.STRING, "checksum", "BINARY")
+        (TType.STRING, "shard", "UTF8"), (TType.I64, "size", None), (TType.STRING, "checksum", "BINARY")
     )
 
 
@@ -76,39 +76,47 @@
     thrift_spec = specification((TType.LIST, "sections", structs_of(SectionRecord)[1]))
 
 
-def part_record(write: PartWrite) -> PartRecord:
+def shard_record(write: ShardWrite) -> ShardRecord:
     """The record of what one part has to store."""
     ready = write.ready
     hard_state = ready.hard_state and HardStateRecord(
-        ready.hard_state.term,
-        ready.hard_state.voted_for or "",
-        ready.hard_state.recovered,
-        ready.hard_state.members.record(),
+        term=ready.hard_state.term,
+        voted_for=ready.hard_state.voted_for or "",
+        recovered=ready.hard_state.recovered,
+        members=ready.hard_state.members.record(),
     )
     kept = ready.snapshot_to_store
-    snapshot = kept and SnapshotRecord(kept.index, kept.term, kept.members.record(), kept.data)
-    return PartRecord(write.part, hard_state, ready.truncate_from, snapshot, ready.entries_to_store)
+    snapshot = kept and SnapshotRecord(
+        index=kept.index, term=kept.term, members=kept.members.record(), data=kept.data
+    )
+    return ShardRecord(
+        shard=write.shard,
+        hard_state=hard_state,
+        truncate_from=ready.truncate_from,
+        snapshot=snapshot,
+        entries=ready.entries_to_store,
+    )
 
 
-def encode_parts(records: list[PartRecord]) -> bytes:
+def encode_group_commit(records: list[ShardRecord]) -> bytes:
     """The value of one group commit: its frame, with a checksum, then the records it names."""
     encoded = [encode_struct(record) for record in records]
     sections = [
-        SectionRecord(record.part, len(data), _checksum(data))
+        SectionRecord(shard=record.shard, size=len(data), checksum=_checksum(data))
         for record, data in zip(records, encoded, strict=True)
     ]
-    frame = encode_struct(FrameRecord(sections))
+    frame = encode_struct(FrameRecord(sections=sections))
     return b"".join([len(frame).to_bytes(LENGTH_BYTES, "big"), _checksum(frame), frame, *encoded])
 
 
 class Section(NamedTuple):
     """What a group commit has for one part; `record` is None if it is damaged."""
 
-    part: str
-    record: PartRecord | None
+    shard: str
+    record: ShardRecord | None
 
 
-def decode_parts(value: bytes) -> list[Section] | None:
+def decode_group_commit(value: bytes) -> list[Section] | None:
     """The sections of one group commit; None if it cannot be told which parts it has."""
     start = LENGTH_BYTES + CHECKSUM_BYTES
     end = start + int.from_bytes(value[:LENGTH_BYTES], "big")
@@ -123,15 +131,15 @@
     for section in sections:
         data = value[end : end + section.size]
         end += section.size
-        found.append(Section(section.part, _part(section, data)))
+        found.append(Section(section.shard, _decode_shard(section, data)))
     return found
 
 
-def _part(section: SectionRecord, data: bytes) -> PartRecord | None:
+def _decode_shard(section: SectionRecord, data: bytes) -> ShardRecord | None:
     if section.checksum != _checksum(data):
         return None
     try:
-        return decode_struct(PartRecord, data)
+        return decode_struct(ShardRecord, data)
     except StructError:
         return None
 
@@ -141,14 +149,14 @@
 
 
 @dataclass
-class PartState:
+class ShardState:
     """A part as its records have made it; shares entries and snapshot with the replica in memory."""
 
     hard_state: HardState | None = None
     snapshot: Snapshot | None = None
     entries: list[Entry] = field(default_factory=list)
 
-    def apply(self, record: PartRecord) -> None:
+    def apply(self, record: ShardRecord) -> None:
         """Take a record into account; raises StructError if it does not follow the ones before."""
         if record.hard_state:
             kept = record.hard_state
@@ -158,13 +166,13 @@
             while self.entries and self.entries[-1].index >= record.truncate_from:
                 self.entries.pop()
         if record.snapshot:
-            self._take_snapshot(record.snapshot)
+            self._install_snapshot(record.snapshot)
         for entry in record.entries:
             if entry.index != self.last_index + 1:
                 raise StructError(f"entry {entry.index} does not follow {self.last_index}")
             self.entries.append(entry)
 
-    def check(self, record: PartRecord) -> None:
+    def check(self, record: ShardRecord) -> None:
         """Raise StructError if the entries of a record would leave a gap."""
         last = self.last_index
         if record.truncate_from is not None:
@@ -175,7 +183,7 @@
             if entry.index != number:
                 raise StructError(f"entry {entry.index} is not {number}")
 
-    def _take_snapshot(self, kept: SnapshotRecord) -> None:
+    def _install_snapshot(self, kept: SnapshotRecord) -> None:
         self.snapshot = Snapshot(kept.index, kept.term, Members.of(kept.members), kept.data)
         self.entries = [entry for entry in self.entries if entry.index > kept.index]
 
@@ -189,15 +197,15 @@
     @property
     def size(self) -> int:
         """About how many bytes the part needs on disk."""
-        entries = sum(len(entry.data) + ENTRY_OVERHEAD for entry in self.entries)
+        entries = sum(len(entry.data) + ENTRY_OVERHEAD_BYTES for entry in self.entries)
         return entries + (len(self.snapshot.data) if self.snapshot else 0)
 
-    def record(self, part: str) -> PartRecord:
+    def record(self, shard: str) -> ShardRecord:
         """One record that holds the whole part."""
         whole = Ready(
             hard_state=self.hard_state, snapshot_to_store=self.snapshot, entries_to_store=self.entries
         )
-        return part_record(PartWrite(part, whole))
+        return shard_record(ShardWrite(shard, whole))
 
     def durable(self) -> DurableState:
         """The state to start a replica with."""
--- a/hopsail/replication/replica.py
+++ b/hopsail/replication/replica.py
@@ -2,7 +2,7 @@
 
 Ongaro, Ousterhout, "In search of an understandable consensus algorithm" (2014), with pre-vote, check of the
 quorum, leases by the steady clock, linearizable reads, hand-over, changes of voters by joint consensus,
-and the return of voters that have lost their disk (see `leading.py`).
+and the return of voters that have lost their disk (see `leader_role.py`).
 
 The driver gives `receive` and `tick` the time, does what `take_ready` returns, and says `persisted` or
 `storage_failed` when a write has ended. Before every call the driver reads its steady clock anew.
@@ -10,16 +10,16 @@
 
 from .core import Role
 from .election import Elections
-from .following import Following
-from .leading import Leading
+from .follower_role import FollowerRole
+from .leader_role import LeaderRole
 from .member_requests import MemberRequests
 from .messages import (
     AppendEntries,
     AppendEntriesReply,
     InstallSnapshot,
     InstallSnapshotReply,
-    Piece,
-    PieceReply,
+    MessageChunk,
+    MessageChunkReply,
     LeaveReply,
     MemberRequest,
     RequestVote,
@@ -32,12 +32,12 @@
 from .state import MILLISECOND, PeerStatus, Ready, ReplicaStatus, Snapshot
 from .structs import Struct
 
-RETRY_STORAGE = 200 * MILLISECOND
-STILL_HEARD = 10_000 * MILLISECOND  # entries are kept for a member that has answered within it
-MOST_APPLIED = 1024  # entries in one Ready
+STORAGE_RETRY_NS = 200 * MILLISECOND
+RECENT_REPLY_NS = 10_000 * MILLISECOND  # entries are kept for a member that has answered within it
+MAX_APPLIED_ENTRIES = 1024  # entries in one Ready
 
 
-class Replica(MemberRequests, Leading, Following, Elections):
+class Replica(MemberRequests, LeaderRole, FollowerRole, Elections):
     """A replica of one log; see the module for how it is driven."""
 
     _handlers = {
@@ -48,8 +48,8 @@
         InstallSnapshot: "_on_install_snapshot",
         InstallSnapshotReply: "_on_install_snapshot_reply",
         TimeoutNow: "_on_timeout_now",
-        Piece: "_on_piece",
-        PieceReply: "_on_piece_reply",
+        MessageChunk: "_on_message_chunk",
+        MessageChunkReply: "_on_message_chunk_reply",
         MemberRequest: "_on_member_request",
         LeaveReply: "_on_leave_reply",
         RestartQuery: "_on_restart_query",
@@ -69,13 +69,15 @@
     def due(self) -> int:
         """When `tick` is needed next."""
         if self.is_leader:
-            due = min(self._heartbeat_at, self._quorum_heard_at() + self.rules.election_least)
+            due = min(
+                self._heartbeat_at, self._last_quorum_contact_at() + self.config.min_election_timeout_ns
+            )
         else:
             due = self._election_at
-            if self._may_survey():
-                due = min(due, self._survey_at)
-            if self._leaves_since is not None:
-                due = min(due, self._ask_at)
+            if self._may_check_restarts():
+                due = min(due, self._restart_query_at)
+            if self._leaving_since is not None:
+                due = min(due, self._leave_request_at)
         if self.durability.failing and self.durability.in_flight is None:
             due = min(due, self._retry_storage_at)
         return due
@@ -89,38 +91,38 @@
         elif now >= self._election_at:
             self._election_timeout()
         if not self.is_leader:
-            self._survey_members()
-            self._ask_to_leave()
+            self._check_restarts()
+            self._request_leave()
 
     def take_ready(self) -> Ready | None:
         """What is to be done now; None if nothing is."""
         if self.is_leader:
             self._flush()
         waiting = self.durability.failing and self.now < self._retry_storage_at
-        ready = (None if waiting else self.durability.offer(self.log)) or Ready()
+        ready = (None if waiting else self.durability.next_write(self.log)) or Ready()
         ready.installed, self._installed = self._installed, None
-        ready.committed = self._take_committed()
+        ready.committed = self._collect_committed()
         ready.messages, self._outgoing = self._outgoing, []
         if ready.must_persist or ready.installed or ready.committed or ready.messages:
             return ready
         return None
 
-    def _take_committed(self) -> list:
-        last = min(self.commit_index, self.applied_index + MOST_APPLIED)
+    def _collect_committed(self) -> list:
+        last = min(self.commit_index, self.applied_index + MAX_APPLIED_ENTRIES)
         entries = self.log.slice(self.applied_index + 1, last) if last > self.applied_index else []
         self.applied_index = last
-        self._pieces.drop_up_to(last)
+        self._chunk_receiver.drop_up_to(last)
         return entries
 
     def persisted(self, now: int, serial: int | None = None) -> None:
         """The last Ready that had to be stored is synced; `serial`, if given, says which."""
         self.now = max(now, self.now)
-        done = self.durability.persisted(serial)
+        done = self.durability.complete_write(serial)
         if done is None:
             return
         if done.hard_state and done.hard_state.recovered:
             self.recovering = False
-        for peer, message in done.held:
+        for peer, message in done.pending_messages:
             self._send(peer, message)
         if self.is_leader:
             self._advance_commit()
@@ -130,8 +132,8 @@
     def storage_failed(self, now: int) -> None:
         """The write under way has failed: nothing of it counts, it is offered again after a while."""
         self.now = max(now, self.now)
-        self.durability.failed()
-        self._retry_storage_at = now + RETRY_STORAGE
+        self.durability.fail_write()
+        self._retry_storage_at = now + STORAGE_RETRY_NS
         self._stop_relying_on_storage()
 
     def storage_stalled(self, now: int) -> None:
@@ -144,7 +146,7 @@
         if self.durability.in_flight is None:
             self._change_hard_state()  # something to write, to find out when the disk works again
         if self.is_leader:
-            self._hand_over(self._best_successor())
+            self._step_down_for(self._best_successor())
         elif self.role is not Role.FOLLOWER:
             self._become_follower(self.term, None)
 
@@ -152,9 +154,9 @@
     def snapshot_due(self) -> bool:
         """Whether the driver should give a snapshot by `compact`."""
         first, last = self.log.snapshot_index, self.applied_index
-        if last - first >= self.rules.snapshot_after:
+        if last - first >= self.config.snapshot_after:
             return True
-        return last > first and self.log.size_between(first, last) >= self.rules.snapshot_after_bytes
+        return last > first and self.log.size_between(first, last) >= self.config.snapshot_after_bytes
 
     def compact(self, snapshot_index: int, data: bytes) -> None:
         """Take the state machine's snapshot at `snapshot_index`, which must have been applied."""
@@ -163,15 +165,17 @@
         term, members = self.log.term_at(snapshot_index), self.log.members_at(snapshot_index)
         snapshot = Snapshot(snapshot_index, term, members, data)
         self.log.compact(snapshot, self._lowest_needed())
-        self.durability.compacted(snapshot)
+        self.durability.record_snapshot(snapshot)
 
     def _lowest_needed(self) -> int:
         """The index after which the members heard of lately need the entries."""
         lately = [
-            progress for progress in self._progress.values() if self.now - progress.heard_at < STILL_HEARD
+            progress
+            for progress in self._progress.values()
+            if self.now - progress.last_reply_at < RECENT_REPLY_NS
         ]
         held = [
-            progress.transfer.whole.last_index if progress.needs_snapshot else progress.match
+            progress.chunk_sender.payload.last_index if progress.needs_snapshot else progress.match
             for progress in lately
         ]
         return min(held, default=self.log.last_index)
@@ -182,7 +186,7 @@
             peer: PeerStatus(
                 progress.match,
                 progress.recovering,
-                None if progress.heard_at == NEVER else now - progress.heard_at,
+                None if progress.last_reply_at == NEVER else now - progress.last_reply_at,
             )
             for peer, progress in self._progress.items()
         }
--- a/hopsail/replication/restarts.py
+++ b/hopsail/replication/restart_checks.py
@@ -26,81 +26,90 @@
 from .messages import RequestVote, RestartQuery, RestartReply
 from .state import MILLISECOND
 
-ASK_AGAIN_AFTER = 25 * MILLISECOND  # those that have not answered: their process may not listen yet
-NUMBER_BITS = 62
+RESTART_QUERY_INTERVAL_NS = 25 * MILLISECOND  # those that have not answered: their process may not listen yet
+CHECK_NUMBER_BITS = 62
 
 
 @dataclass
-class Survey:
-    """One round of questions; `lives`: what the first round brought, None while it is the first."""
+class RestartCheck:
+    """One round of questions; `incarnations`: what the first round brought, None while it is the first."""
 
     number: int
-    lives: dict[str, int] | None = None
+    incarnations: dict[str, int] | None = None
     answers: dict[str, RestartReply] = field(default_factory=dict)
 
 
-class Restarts(ReplicaCore):
+class RestartChecks(ReplicaCore):
     """Finds out whether all members have restarted."""
 
-    def _may_survey(self) -> bool:
+    def _may_check_restarts(self) -> bool:
         """Whether only the promise of an earlier life keeps this replica from standing."""
-        promised = self.now < self._leader_heard_at + self.rules.election_least
-        return promised and self._is_fresh and self.role is Role.FOLLOWER and self._may_stand()
+        promised = self.now < self._last_leader_contact_at + self.config.min_election_timeout_ns
+        return promised and self._no_leader_seen and self.role is Role.FOLLOWER and self._may_stand()
 
-    def _survey_members(self) -> None:
-        if self.now < self._survey_at or not self._may_survey():
+    def _check_restarts(self) -> None:
+        if self.now < self._restart_query_at or not self._may_check_restarts():
             return
-        self._survey_at = self.now + ASK_AGAIN_AFTER
-        if self._survey is None:
-            self._begin_survey(None)
+        self._restart_query_at = self.now + RESTART_QUERY_INTERVAL_NS
+        if self._restart_check is None:
+            self._start_restart_check(None)
         else:
-            self._ask_unanswered()
+            self._query_unanswered()
 
-    def _begin_survey(self, lives: dict[str, int] | None) -> None:
-        self._survey = Survey(self.random.getrandbits(NUMBER_BITS), lives)
-        self._ask_unanswered()
+    def _start_restart_check(self, incarnations: dict[str, int] | None) -> None:
+        self._restart_check = RestartCheck(self.random.getrandbits(CHECK_NUMBER_BITS), incarnations)
+        self._query_unanswered()
 
-    def _ask_unanswered(self) -> None:
-        for member in self._surveyed():
-            if member not in self._survey.answers:
-                self._send(member, RestartQuery(self._survey.number))
+    def _query_unanswered(self) -> None:
+        for member in self._members_to_query():
+            if member not in self._restart_check.answers:
+                self._send(member, RestartQuery(number=self._restart_check.number))
 
-    def _surveyed(self) -> list[str]:
+    def _members_to_query(self) -> list[str]:
         """All that may have led by what the log tells, but this one."""
-        known = dict.fromkeys(self.members.all + self.log.electors_before)
+        known = dict.fromkeys(self.members.all + self.log.previous_electors)
         return [member for member in known if member != self.identity]
 
     def _on_restart_query(self, sender: str, query: RestartQuery) -> None:
         last_term, last_index = self.log.last_term, self.log.last_index
-        able = self._may_stand()
-        reply = RestartReply(query.number, self.incarnation, self._is_fresh, able, last_term, last_index)
+        may_stand = self._may_stand()
+        reply = RestartReply(
+            number=query.number,
+            incarnation=self.incarnation,
+            fresh=self._no_leader_seen,
+            may_stand=may_stand,
+            last_term=last_term,
+            last_index=last_index,
+        )
         self._send(sender, reply)
 
     def _on_restart_reply(self, member: str, reply: RestartReply) -> None:
-        survey = self._survey
-        if survey is None or reply.number != survey.number or not self._may_survey():
+        check = self._restart_check
+        if check is None or reply.number != check.number or not self._may_check_restarts():
             return
-        if not reply.fresh or (survey.lives is not None and survey.lives.get(member) != reply.incarnation):
-            self._survey = None
+        if not reply.fresh or (
+            check.incarnations is not None and check.incarnations.get(member) != reply.incarnation
+        ):
+            self._restart_check = None
             return
-        survey.answers[member] = reply
-        if any(asked not in survey.answers for asked in self._surveyed()):
+        check.answers[member] = reply
+        if any(asked not in check.answers for asked in self._members_to_query()):
             return
-        if survey.lives is None:
-            self._begin_survey({name: answer.incarnation for name, answer in survey.answers.items()})
+        if check.incarnations is None:
+            self._start_restart_check({name: answer.incarnation for name, answer in check.answers.items()})
         else:
-            self._all_have_restarted(survey)
+            self._finish_restart_check(check)
 
-    def _all_have_restarted(self, survey: Survey) -> None:
-        self._survey = None
-        self._known_lives = survey.lives
+    def _finish_restart_check(self, check: RestartCheck) -> None:
+        self._restart_check = None
+        self._known_incarnations = check.incarnations
         own = (self.log.last_term, self.log.last_index, self.incarnation)
-        if all(own > _rank(answer) for answer in survey.answers.values() if answer.able):
+        if all(own > _rank(answer) for answer in check.answers.values() if answer.may_stand):
             self._campaign(transfer=False)
 
-    def _is_released(self, request: RequestVote) -> bool:
+    def _is_restart_confirmed(self, request: RequestVote) -> bool:
         """Whether the candidate knows that nobody relies on what this replica promised in earlier lives."""
-        return self._is_fresh and request.life == self.incarnation
+        return self._no_leader_seen and request.incarnation == self.incarnation
 
     def _may_stand(self) -> bool:
         raise NotImplementedError
--- a/hopsail/replication/schedule.py
+++ b/hopsail/replication/schedule.py
@@ -8,7 +8,7 @@
 from .simulation import Network, Node, Simulation
 from .state import MILLISECOND, Busy, Members, NotLeader
 
-ROUGH = Network(loss=0.03, doubling=0.05, delay_most=20 * MILLISECOND, long_delay=0.03)
+ROUGH = Network(loss=0.03, duplication=0.05, max_delay=20 * MILLISECOND, long_delay=0.03)
 CALM = Network()
 SWAPS = 0.6  # of the changes in which a learner becomes a voter: it takes the place of one
 
@@ -45,12 +45,12 @@
         self._kinds = [getattr(self, f"_{name}") for name in names]
         self._weights = [getattr(weights, name) for name in names]
 
-    def play(self, steps: int, pause_most: int) -> None:
+    def play(self, steps: int, max_pause: int) -> None:
         """Play so many steps, with pauses (ns) between them."""
         for _ in range(steps):
             self.random.choices(self._kinds, self._weights)[0]()
             self._restart_some()
-            self.simulation.run(self.random.randint(0, pause_most))
+            self.simulation.run(self.random.randint(0, max_pause))
 
     def _any(self) -> str:
         """A replica; often the leader."""
@@ -124,8 +124,8 @@
         if ready:
             promoted = self.random.choice(ready)
             return (*voters, promoted), tuple(one for one in learners if one != promoted)
-        whole = all(replica.is_caught_up(voter) for voter in voters if voter != replica.identity)
-        if whole and len(voters) > len(self.simulation.initial.voters):
+        all_caught_up = all(replica.is_caught_up(voter) for voter in voters if voter != replica.identity)
+        if all_caught_up and len(voters) > len(self.simulation.initial.voters):
             removed = self.random.choice(voters)
             return tuple(one for one in voters if one != removed), learners
         spares = [name for name in self.simulation.nodes if name not in replica.members.all]
@@ -175,12 +175,12 @@
 def play_schedule(seed: int, steps: int = 12, weights: Weights = DEFAULT_WEIGHTS, **options) -> Simulation:
     """Play one schedule from start to end; raises Violation. `options` are those of Simulation."""
     random = Random(f"schedule/{seed}")
-    pause_most = random.choice((50, 200, 500)) * MILLISECOND
+    max_pause = random.choice((50, 200, 500)) * MILLISECOND
     network = random.choice((CALM, ROUGH))
     simulation = Simulation(random.getrandbits(32), **options)
     simulation.run_until(simulation.settled_leader)
     simulation.run(50 * MILLISECOND)
     simulation.network = network
-    Schedule(simulation, random, weights).play(steps, pause_most)
+    Schedule(simulation, random, weights).play(steps, max_pause)
     simulation.check_survival()
     return simulation
--- a/hopsail/replication/simulation.py
+++ b/hopsail/replication/simulation.py
@@ -13,7 +13,7 @@
 from random import Random
 
 from .messages import Entry, EntryKind
-from .records import PartState, PartWrite, part_record
+from .records import ShardState, ShardWrite, shard_record
 from .replica import Replica
 from .state import (
     MILLISECOND,
@@ -23,13 +23,13 @@
     NotLeader,
     ReadToken,
     Ready,
-    ReplicaRules,
+    ReplicaConfig,
     Snapshot,
 )
 from .structs import Struct
 
-PART = "part"
-MOST_ATTEMPTS = 10
+SHARD = "shard"
+MAX_ATTEMPTS = 10
 
 
 class Violation(AssertionError):
@@ -41,25 +41,25 @@
     """How messages fare; shares of all messages, times in ns."""
 
     loss: float = 0.0
-    doubling: float = 0.0
-    delay_least: int = MILLISECOND
-    delay_most: int = 5 * MILLISECOND
+    duplication: float = 0.0
+    min_delay: int = MILLISECOND
+    max_delay: int = 5 * MILLISECOND
     long_delay: float = 0.0
-    long_delay_most: int = 3000 * MILLISECOND
+    max_long_delay: int = 3000 * MILLISECOND
 
 
 class Disk:
     """What a replica has synced; `write` applies a Ready only when it is synced."""
 
     def __init__(self):
-        self.state: PartState | None = None
+        self.state: ShardState | None = None
         self.delay = 5 * MILLISECOND
         self.refuses = False
 
     def write(self, ready: Ready) -> None:
         """Sync what is to be stored."""
-        self.state = self.state or PartState()
-        self.state.apply(part_record(PartWrite(PART, ready)))
+        self.state = self.state or ShardState()
+        self.state.apply(shard_record(ShardWrite(SHARD, ready)))
 
     def wipe(self) -> None:
         """Lose everything."""
@@ -117,7 +117,7 @@
         """A client was told that its value is stored."""
         self.acknowledged[value] = index
 
-    def reads_values(self, must_have: int, machine: StateMachine) -> None:
+    def check_read(self, must_have: int, machine: StateMachine) -> None:
         """A read was answered; `must_have`: the highest index acknowledged when it began."""
         self.reads += 1
         if machine.index < must_have:
@@ -137,7 +137,7 @@
         self.disk = Disk()
         self.replica: Replica | None = None
         self.machine = StateMachine()
-        self.life = 0
+        self.incarnation = 0
         self.frozen_until = 0
         self.wake_at: int | None = None
         self.writing: Ready | None = None
@@ -186,12 +186,12 @@
             durable = DurableState(members=self.initial, recovered=True)
         else:
             durable = node.disk.state.durable() if node.disk.state else DurableState()
-        rules = ReplicaRules(name, snapshot_after=self.snapshot_after)
+        config = ReplicaConfig(name, snapshot_after=self.snapshot_after)
         recovering = not bootstrap and node.disk.state is None
         random = Random(self.random.getrandbits(64))
-        node.replica = self.factory(rules, random, self.now, durable, recovering)
+        node.replica = self.factory(config, random, self.now, durable, recovering)
         node.machine = StateMachine()
-        node.life += 1
+        node.incarnation += 1
         node.frozen_until = 0
         node.waiting, node.reads, node.wake_at = {}, [], None
         self._work(node)
@@ -203,7 +203,7 @@
             node.disk.write(node.writing)
         node.writing = None
         node.replica = None
-        node.life += 1
+        node.incarnation += 1
         if wipe:
             node.disk.wipe()
 
@@ -282,7 +282,7 @@
             return
         must_have = self.checker.highest
         if self.lease_reads and node.replica.lease_valid(self.now):
-            self.checker.reads_values(must_have, node.machine)
+            self.checker.check_read(must_have, node.machine)
         node.reads.append((node.replica.read_index(self.now), must_have))
         self._work(node)
 
@@ -300,7 +300,7 @@
 
     def _work(self, node: Node) -> None:
         while node.replica and (ready := node.replica.take_ready()):
-            self._do(node, ready)
+            self._process_ready(node, ready)
         if node.replica is None:
             return
         if node.replica.is_leader:
@@ -309,7 +309,7 @@
         self._compact(node)
         self._wake_at(node, node.replica.due)
 
-    def _do(self, node: Node, ready: Ready) -> None:
+    def _process_ready(self, node: Node, ready: Ready) -> None:
         for peer, message in ready.messages:
             self.send(node.identity, peer, message)
         if ready.installed:
@@ -330,7 +330,7 @@
         for token, must_have in node.reads:
             answer = node.replica.read_ready(token)
             if answer:
-                self.checker.reads_values(must_have, node.machine)
+                self.checker.check_read(must_have, node.machine)
             elif answer is False:
                 remaining.append((token, must_have))
         node.reads = remaining
@@ -345,21 +345,21 @@
         if node.wake_at is not None and node.wake_at <= time:
             return
         node.wake_at = time
-        life = node.life
-        self.at(time, lambda: self._wake(node, life))
+        incarnation = node.incarnation
+        self.at(time, lambda: self._wake(node, incarnation))
 
-    def _wake(self, node: Node, life: int) -> None:
-        if node.life != life:
+    def _wake(self, node: Node, incarnation: int) -> None:
+        if node.incarnation != incarnation:
             return
         node.wake_at = None
-        self._when_awake(node, life, lambda: node.replica.tick(self.now))
+        self._when_awake(node, incarnation, lambda: node.replica.tick(self.now))
 
-    def _when_awake(self, node: Node, life: int, action: Callable[[], None]) -> None:
+    def _when_awake(self, node: Node, incarnation: int, action: Callable[[], None]) -> None:
         """Do something in a process, once it is not frozen and if it has not ended."""
-        if node.life != life or node.replica is None:
+        if node.incarnation != incarnation or node.replica is None:
             return
         if node.frozen_until > self.now:
-            self.at(node.frozen_until, lambda: self._when_awake(node, life, action))
+            self.at(node.frozen_until, lambda: self._when_awake(node, incarnation, action))
             return
         action()
         self._work(node)
@@ -367,18 +367,18 @@
     # Disk and network.
 
     def _store(self, node: Node, ready: Ready) -> None:
-        life = node.life
+        incarnation = node.incarnation
         node.writing = ready
-        self.at(self.now + node.disk.delay, lambda: self._stored(node, life, ready))
+        self.at(self.now + node.disk.delay, lambda: self._stored(node, incarnation, ready))
 
-    def _stored(self, node: Node, life: int, ready: Ready) -> None:
-        if node.life != life:
+    def _stored(self, node: Node, incarnation: int, ready: Ready) -> None:
+        if node.incarnation != incarnation:
             return
         node.writing = None
         refused = node.disk.refuses
         if not refused:
             node.disk.write(ready)
-        self._when_awake(node, life, lambda: self._written(node, ready, refused))
+        self._when_awake(node, incarnation, lambda: self._written(node, ready, refused))
 
     def _written(self, node: Node, ready: Ready, refused: bool) -> None:
         if refused:
@@ -395,22 +395,22 @@
             return
         if self.random.random() < self.network.loss:
             return
-        copies = 2 if self.random.random() < self.network.doubling else 1
+        copies = 2 if self.random.random() < self.network.duplication else 1
         for _ in range(copies):
             self.deliver_after(self._delay(), sender, receiver, message)
 
     def _delay(self) -> int:
         network = self.network
         if self.random.random() < network.long_delay:
-            return self.random.randint(network.delay_least, network.long_delay_most)
-        return self.random.randint(network.delay_least, network.delay_most)
+            return self.random.randint(network.min_delay, network.max_long_delay)
+        return self.random.randint(network.min_delay, network.max_delay)
 
     def deliver_after(self, delay: int, sender: str, receiver: str, message: Struct) -> None:
         """Deliver a message after a while, to whatever process runs there then."""
 
         def deliver():
             node = self.nodes[receiver]
-            self._when_awake(node, node.life, lambda: node.replica.receive(self.now, sender, message))
+            self._when_awake(node, node.incarnation, lambda: node.replica.receive(self.now, sender, message))
 
         self.at(self.now + delay, deliver)
 
@@ -435,7 +435,7 @@
 
     def _acknowledge_one(self) -> bytes:
         """Propose until a value is acknowledged, and return it."""
-        for _ in range(MOST_ATTEMPTS):
+        for _ in range(MAX_ATTEMPTS):
             value = self.run_until(self._propose_somewhere)
             self.run(500 * MILLISECOND)
             if value in self.checker.acknowledged:
--- a/hopsail/replication/state.py
+++ b/hopsail/replication/state.py
@@ -10,28 +10,28 @@
 from .structs import Struct, decode_struct, encode_struct
 
 MILLISECOND = 1_000_000
-LEASE_SHARE = 0.8  # of `election_least`, left as room for steady clocks of different rates
+MAX_LEASE_SHARE = 0.8  # of `min_election_timeout_ns`, left as room for steady clocks of different rates
 
 
 @dataclass(frozen=True)
-class ReplicaRules:
+class ReplicaConfig:
     """Constants of a replica; the same for all replicas of a log but for `identity`."""
 
     identity: str
-    heartbeat: int = 100 * MILLISECOND
-    election_least: int = 400 * MILLISECOND
-    election_most: int = 800 * MILLISECOND
-    lease: int = 300 * MILLISECOND
+    heartbeat_interval_ns: int = 100 * MILLISECOND
+    min_election_timeout_ns: int = 400 * MILLISECOND
+    max_election_timeout_ns: int = 800 * MILLISECOND
+    lease_duration_ns: int = 300 * MILLISECOND
     max_batch_bytes: int = 64 << 10  # of entries in one message; a longer entry goes in pieces
     snapshot_after: int = 200
     snapshot_after_bytes: int = 8 << 20  # of entries after the last snapshot
-    most_uncommitted: int = 256
-    most_snapshot_bytes: int = 64 << 20  # that a member collects in memory
+    max_uncommitted_entries: int = 256
+    max_snapshot_bytes: int = 64 << 20  # that a member collects in memory
 
     def __post_init__(self):
-        if not 0 < self.heartbeat < self.election_least <= self.election_most:
+        if not 0 < self.heartbeat_interval_ns < self.min_election_timeout_ns <= self.max_election_timeout_ns:
             raise ValueError("the heartbeat must be shorter than the election timeout")
-        if self.lease > LEASE_SHARE * self.election_least:
+        if self.lease_duration_ns > MAX_LEASE_SHARE * self.min_election_timeout_ns:
             raise ValueError("the lease must be shorter than 0.8 of the least election timeout")
 
 
@@ -91,7 +91,9 @@
 
     def record(self) -> MembersRecord:
         """The same as a thrift struct."""
-        return MembersRecord(list(self.voters), list(self.learners), list(self.outgoing) or None)
+        return MembersRecord(
+            voters=list(self.voters), learners=list(self.learners), outgoing=list(self.outgoing) or None
+        )
 
     @classmethod
     def of(cls, record: MembersRecord) -> "Members":
@@ -167,7 +169,7 @@
     """A linearizable read: of which term, confirmed by which round, at which index or later."""
 
     term: int
-    round: int
+    heartbeat_round: int
     index: int
 
 
@@ -177,7 +179,7 @@
 
     match: int
     recovering: bool
-    heard_ago: int | None
+    last_reply_age: int | None
 
 
 @dataclass(frozen=True)
--- a/hopsail/replication/storage.py
+++ b/hopsail/replication/storage.py
@@ -1,8 +1,8 @@
 """Durable storage for the logs of several parts, in one folder.
 
 Each group commit is one record of the current generation (see `generation.py`), or, if it is long, several
-that count when the last one is there (see `chunks.py`). When much of a generation is out of date, all that
-is live is written to a new one, which becomes current by the rename of a small file.
+that count when the last one is there (see `record_chunks.py`). When much of a generation is out of date, all
+that is live is written to a new one, which becomes current by the rename of a small file.
 
 After a loss of power, what was written after the last sync may be there, be missing or be torn. As each
 record is synced before the next, that can only be the last one, which is then dropped. A damaged record
@@ -14,9 +14,17 @@
 import re
 from collections.abc import Callable, Iterable
 
-from .chunks import Joiner, cut, is_long
+from .record_chunks import Joiner, split, is_long
 from .generation import SUFFIXES, Generation
-from .records import PartRecord, PartState, PartWrite, Section, decode_parts, encode_parts, part_record
+from .records import (
+    ShardRecord,
+    ShardState,
+    ShardWrite,
+    Section,
+    decode_group_commit,
+    encode_group_commit,
+    shard_record,
+)
 from .state import DurableState
 from .structs import StructError
 
@@ -24,10 +32,10 @@
 CURRENT_NEW = "current.new"
 GENERATION = re.compile(r"log-(\d{6})\Z")
 GENERATION_FILE = re.compile(r"log-(\d{6})\.(dat|dir|bak)\Z")
-MOST_GARBAGE = 8 << 20
-MOST_RECORDS = 4096
-URGENT = 3  # times MOST_GARBAGE, when a new generation can wait no longer for a quiet moment
-COMPACTIONS_SKIPPED = 32  # after one that has failed
+MAX_GARBAGE_BYTES = 8 << 20
+MAX_RECORDS = 4096
+URGENT_GARBAGE_FACTOR = 3  # times MOST_GARBAGE, when a new generation can wait no longer for a quiet moment
+SKIPPED_COMPACTIONS = 32  # after one that has failed
 
 
 class StorageError(Exception):
@@ -37,23 +45,25 @@
 class Storage:
     """The durable states of the parts of one process; calls block until the disk has answered."""
 
-    def __init__(self, folder: str, part_names: Iterable[str]):
+    def __init__(self, folder: str, shard_names: Iterable[str]):
         self.folder = folder
-        self.part_names = tuple(part_names)
+        self.shard_names = tuple(shard_names)
         self.corrupt: set[str] = set()
         self.damaged_records = 0
         self.torn_records = 0
-        self.has_progressed: Callable[[], object] = bool  # a long write is encoded, or a chunk of it synced
-        self._states: dict[str, PartState] = {}
+        self.on_progress: Callable[[], object] = bool  # a long write is encoded, or a chunk of it synced
+        self._states: dict[str, ShardState] = {}
         self._generation: Generation | None = None
         self._must_compact = False
         self._compactions_skipped = 0  # are still to be, after one that failed
-        self._unsettled = False  # the folder is to be synced, and old generations to be removed
+        self._generation_change_pending = (
+            False  # the folder is to be synced, and old generations to be removed
+        )
 
     @classmethod
-    def open(cls, folder: str, part_names: Iterable[str]) -> "Storage":
+    def open(cls, folder: str, shard_names: Iterable[str]) -> "Storage":
         """Read what is in a folder, which is made if it is not there; raises StorageError."""
-        storage = cls(folder, part_names)
+        storage = cls(folder, shard_names)
         try:
             os.makedirs(folder, exist_ok=True)
             storage._read()
@@ -66,9 +76,9 @@
         """Whether nothing was ever stored here, as far as the disk can tell."""
         return not self._states and not self.corrupt
 
-    def load(self, part: str) -> DurableState | None:
+    def load(self, shard: str) -> DurableState | None:
         """The state of a part; None if nothing usable was stored (see `corrupt`)."""
-        state = self._states.get(part)
+        state = self._states.get(shard)
         return state.durable() if state else None
 
     def close(self) -> None:
@@ -82,25 +92,25 @@
         number = self._current_number()
         if number is None:
             return
-        self._unsettled = True
+        self._generation_change_pending = True
         self._generation = Generation(self.folder, number)
         waiting: list[list[Section] | None] = []  # damaged, and dropped unless something good follows
         joiner = Joiner()
         for found in self._generation.read():
-            was_between, value = joiner.is_between, joiner.take(found.value)
+            was_between, value = joiner.is_between, joiner.add(found.value)
             if joiner.is_between:
                 continue
             if was_between and value is found.value:
                 waiting.append(None)  # what the chunks before it began has no end
-            sections = None if value is None else decode_parts(value)
+            sections = None if value is None else decode_group_commit(value)
             waiting.append(sections)
             if sections is not None and all(section.record for section in sections):
-                self._take(waiting)
+                self._apply_records(waiting)
                 waiting = []
                 self._generation.sizes = found.sizes
         self.torn_records = len(waiting) + joiner.is_between
-        for part in self.corrupt:
-            self._states.pop(part, None)
+        for shard in self.corrupt:
+            self._states.pop(shard, None)
         self._must_compact = bool(self.corrupt)
 
     def _current_number(self) -> int | None:
@@ -111,52 +121,52 @@
             return None
         if found is None:
             self.damaged_records += 1
-            self.corrupt.update(self.part_names)
+            self.corrupt.update(self.shard_names)
             return None
         return int(found[1])
 
-    def _take(self, records: list[list[Section] | None]) -> None:
+    def _apply_records(self, records: list[list[Section] | None]) -> None:
         """Apply a good record, and the damaged ones before it as far as they are readable."""
         self.damaged_records += len(records) - 1
         for sections in records:
             if sections is None:
-                self.corrupt.update(self.part_names)
+                self.corrupt.update(self.shard_names)
                 continue
             for section in sections:
-                self._take_section(section)
+                self._apply_section(section)
 
-    def _take_section(self, section: Section) -> None:
+    def _apply_section(self, section: Section) -> None:
         try:
             if section.record is None:
-                self.corrupt.add(section.part)
-            elif section.part not in self.corrupt:
-                self._states.setdefault(section.part, PartState()).apply(section.record)
+                self.corrupt.add(section.shard)
+            elif section.shard not in self.corrupt:
+                self._states.setdefault(section.shard, ShardState()).apply(section.record)
         except StructError:
-            self.corrupt.add(section.part)
+            self.corrupt.add(section.shard)
 
     # Writing.
 
-    def write(self, batch: list[PartWrite]) -> None:
+    def write(self, batch: list[ShardWrite]) -> None:
         """Store a group commit, synced when this returns; raises StorageError, and works on after it."""
-        records = [part_record(write) for write in batch]
+        records = [shard_record(write) for write in batch]
         try:
             for record in records:
-                self._states.get(record.part, PartState()).check(record)
+                self._states.get(record.shard, ShardState()).check(record)
             if self._generation is None or self._must_compact:
                 self._start_generation()
-            self._settle()
+            self._finish_generation_change()
             self._append(self._generation, records)
         except (OSError, StructError) as error:
             raise StorageError(str(error)) from error
         for record in records:
-            self._states.setdefault(record.part, PartState()).apply(record)
+            self._states.setdefault(record.shard, ShardState()).apply(record)
 
-    def _append(self, generation: Generation, records: list[PartRecord]) -> None:
+    def _append(self, generation: Generation, records: list[ShardRecord]) -> None:
         """Write one value; a long one in chunks, so that it can be told whether the disk goes on."""
-        value = encode_parts(records)
-        progressed = self.has_progressed if is_long(value) else bool
+        value = encode_group_commit(records)
+        progressed = self.on_progress if is_long(value) else bool
         progressed()
-        generation.append(cut(value), progressed)
+        generation.append(split(value), progressed)
 
     @property
     def _garbage(self) -> int:
@@ -167,23 +177,23 @@
     @property
     def is_wasteful(self) -> bool:
         """Whether a new generation is needed even while writes wait."""
-        return self._generation is not None and self._garbage > URGENT * MOST_GARBAGE
+        return self._generation is not None and self._garbage > URGENT_GARBAGE_FACTOR * MAX_GARBAGE_BYTES
 
     def compact_if_needed(self) -> bool:
         """Write a new generation if the present one holds much that is out of date; whether it did."""
         if self._generation is None:
             return False
-        if self._garbage <= MOST_GARBAGE and self._generation.sizes.serial <= MOST_RECORDS:
+        if self._garbage <= MAX_GARBAGE_BYTES and self._generation.sizes.serial <= MAX_RECORDS:
             return False
         if self._compactions_skipped:
             self._compactions_skipped -= 1
             return False
         try:
-            self._settle()
+            self._finish_generation_change()
             self._start_generation()
-            self._settle()
+            self._finish_generation_change()
         except OSError as error:
-            self._compactions_skipped = COMPACTIONS_SKIPPED
+            self._compactions_skipped = SKIPPED_COMPACTIONS
             raise StorageError(str(error)) from error
         return True
 
@@ -194,18 +204,23 @@
         try:
             new.clean()
             if self._states:
-                self._append(new, [state.record(part) for part, state in self._states.items()])
+                self._append(new, [state.record(shard) for shard, state in self._states.items()])
             self._make_current(new)
         except OSError:
             new.close()
             if self._may_be_current(new):
-                self._must_compact, self._unsettled = True, False  # nothing may be added to the old one
+                self._must_compact, self._generation_change_pending = (
+                    True,
+                    False,
+                )  # nothing may be added to the old one
             else:
                 self._discard(new)
-                self._unsettled = old is not None  # what is left of the new files is to be removed
+                self._generation_change_pending = (
+                    old is not None
+                )  # what is left of the new files is to be removed
             raise
         self._generation = new
-        self._unsettled = True
+        self._generation_change_pending = True
         self._must_compact = False
         if old:
             old.close()
@@ -241,9 +256,9 @@
             os.fsync(file.fileno())
         os.rename(self._path(CURRENT_NEW), self._path(CURRENT))
 
-    def _settle(self) -> None:
+    def _finish_generation_change(self) -> None:
         """Make the last change of generations last, and remove what is not current."""
-        if not self._unsettled:
+        if not self._generation_change_pending:
             return
         self._sync_folder()
         for name in os.listdir(self.folder):
@@ -251,7 +266,7 @@
             if (found and int(found[1]) != self._generation.number) or name == CURRENT_NEW:
                 os.remove(self._path(name))
         self._sync_folder()
-        self._unsettled = False
+        self._generation_change_pending = False
 
     def _sync_folder(self) -> None:
         descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
--- a/hopsail/replication/structs.py
+++ b/hopsail/replication/structs.py
@@ -8,7 +8,7 @@
 from thrift.protocol.TCompactProtocol import TCompactProtocolAccelerated
 from thrift.transport.TTransport import TMemoryBuffer
 
-MOST_ITEMS = 1 << 16
+MAX_ITEMS = 1 << 16
 
 
 class StructError(Exception):
@@ -50,7 +50,7 @@
     """The struct of type `kind` in `data`; raises StructError if it is not there, or not complete."""
     struct = kind()
     protocol = TCompactProtocolAccelerated(
-        TMemoryBuffer(data), string_length_limit=max(len(data), 1), container_length_limit=MOST_ITEMS
+        TMemoryBuffer(data), string_length_limit=max(len(data), 1), container_length_limit=MAX_ITEMS
     )
     try:
         struct.read(protocol)
--- a/tests/controlplane_simulation.py
+++ b/tests/controlplane_simulation.py
@@ -39,7 +39,7 @@
     """What `ControlPlane` is for its calls, in one life of a simulated node."""
 
     def __init__(self, simulation: "ControlSimulation", node: Node):
-        self.simulation, self.node, self.life = simulation, node, node.life
+        self.simulation, self.node, self.life = simulation, node, node.incarnation
         self.identity, self.stopping = node.identity, False
         self.loop, self.counters = self, Counters("test")
         self.published = [0]  # revisions, in order
@@ -154,7 +154,7 @@
         if node is None or node.replica is None:
             return None
         process = self.processes.get(name)
-        if process is None or process.life != node.life:
+        if process is None or process.life != node.incarnation:
             process = self.processes[name] = Process(self, node)
         return process
 
--- a/tests/feeds_simulation.py
+++ b/tests/feeds_simulation.py
@@ -207,7 +207,7 @@
         if node is None or node.replica is None:
             return None
         process = self.processes.get(name)
-        if process is None or process.life != node.life:
+        if process is None or process.life != node.incarnation:
             process = self.processes[name] = FeedingProcess(self, node)
         return process
 
--- a/tests/golden/test_golden_replication.py
+++ b/tests/golden/test_golden_replication.py
@@ -10,7 +10,7 @@
 
 import pytest
 
-from hopsail.replication import chunks, messages, records
+from hopsail.replication import record_chunks, messages, records
 from hopsail.replication.messages import (
     AppendEntries,
     AppendEntriesReply,
@@ -21,15 +21,15 @@
     LeaveReply,
     MemberRequest,
     MembersRecord,
-    Piece,
-    PieceReply,
+    MessageChunk,
+    MessageChunkReply,
     RequestVote,
     RequestVoteReply,
     RestartQuery,
     RestartReply,
     TimeoutNow,
 )
-from hopsail.replication.records import PartWrite, decode_parts, encode_parts, part_record
+from hopsail.replication.records import ShardWrite, decode_group_commit, encode_group_commit, shard_record
 from hopsail.replication.replica import Replica
 from hopsail.replication.schedule import play_schedule
 from hopsail.replication.simulation import Simulation
@@ -45,7 +45,7 @@
 
 
 def entry(index, data=b"x", term=3, kind=EntryKind.DATA):
-    return Entry(term, index, int(kind), data)
+    return Entry(term=term, index=index, kind=int(kind), data=data)
 
 
 def all_messages():
@@ -55,27 +55,112 @@
         entry(10, JOINT.encode(), 4, EntryKind.MEMBERS),
     ]
     return {
-        "vote": RequestVote(5, 9, 4, False, False, LARGE),
-        "pre-vote, incarnation not known": RequestVote(6, LARGE, 4, True, False, None),
-        "vote after transfer": RequestVote(6, 0, 0, False, True, None),
-        "vote given": RequestVoteReply(5, True, False),
-        "pre-vote refused": RequestVoteReply(7, False, True),
-        "heartbeat": AppendEntries(5, 9, 4, 8, 77, 123_456_789_012, 0, 0, []),
-        "entries": AppendEntries(5, 7, 4, 6, 78, 123_456_789_013, LARGE, 8, entries),
-        "entries taken": AppendEntriesReply(5, True, 10, 0, 78, 123_456_789_013, LARGE, False),
-        "entries refused": AppendEntriesReply(5, False, 0, 3, 78, 123_456_789_013, LARGE, True),
-        "snapshot": InstallSnapshot(5, 300, 4, 79, 5_000, MEMBERS.record(), b"state\0\xff" * 30),
-        "snapshot, joint": InstallSnapshot(5, 300, 4, 79, 5_000, JOINT.record(), b""),
-        "snapshot taken": InstallSnapshotReply(5, 300, 79, 5_000, LARGE, True),
-        "timeout now": TimeoutNow(5),
-        "chunk": Piece(5, 300, 4, 80, 6_000, 70_000, b"0123456789abcdef", 32_768, b"chunk" * 9),
-        "chunk taken": PieceReply(5, b"0123456789abcdef", 32_768, 32_813, 80, 6_000, LARGE, False),
-        "join": MemberRequest(False),
-        "leave": MemberRequest(True),
-        "may leave": LeaveReply(5, 300),
-        "restart query": RestartQuery(LARGE),
-        "restart reply": RestartReply(LARGE, LARGE - 1, True, False, 4, 300),
-        "restart reply, not fresh": RestartReply(1, 2, False, True, 0, 0),
+        "vote": RequestVote(
+            term=5, last_index=9, last_term=4, pre_vote=False, transfer=False, incarnation=LARGE
+        ),
+        "pre-vote, incarnation not known": RequestVote(
+            term=6, last_index=LARGE, last_term=4, pre_vote=True, transfer=False, incarnation=None
+        ),
+        "vote after transfer": RequestVote(
+            term=6, last_index=0, last_term=0, pre_vote=False, transfer=True, incarnation=None
+        ),
+        "vote given": RequestVoteReply(term=5, granted=True, pre_vote=False),
+        "pre-vote refused": RequestVoteReply(term=7, granted=False, pre_vote=True),
+        "heartbeat": AppendEntries(
+            term=5,
+            prev_index=9,
+            prev_term=4,
+            commit=8,
+            heartbeat_round=77,
+            sent_at=123_456_789_012,
+            recover_incarnation=0,
+            recover_index=0,
+            entries=[],
+        ),
+        "entries": AppendEntries(
+            term=5,
+            prev_index=7,
+            prev_term=4,
+            commit=6,
+            heartbeat_round=78,
+            sent_at=123_456_789_013,
+            recover_incarnation=LARGE,
+            recover_index=8,
+            entries=entries,
+        ),
+        "entries taken": AppendEntriesReply(
+            term=5,
+            success=True,
+            match=10,
+            hint=0,
+            heartbeat_round=78,
+            sent_at=123_456_789_013,
+            incarnation=LARGE,
+            recovering=False,
+        ),
+        "entries refused": AppendEntriesReply(
+            term=5,
+            success=False,
+            match=0,
+            hint=3,
+            heartbeat_round=78,
+            sent_at=123_456_789_013,
+            incarnation=LARGE,
+            recovering=True,
+        ),
+        "snapshot": InstallSnapshot(
+            term=5,
+            index=300,
+            entry_term=4,
+            heartbeat_round=79,
+            sent_at=5_000,
+            members=MEMBERS.record(),
+            data=b"state\0\xff" * 30,
+        ),
+        "snapshot, joint": InstallSnapshot(
+            term=5,
+            index=300,
+            entry_term=4,
+            heartbeat_round=79,
+            sent_at=5_000,
+            members=JOINT.record(),
+            data=b"",
+        ),
+        "snapshot taken": InstallSnapshotReply(
+            term=5, match=300, heartbeat_round=79, sent_at=5_000, incarnation=LARGE, recovering=True
+        ),
+        "timeout now": TimeoutNow(term=5),
+        "chunk": MessageChunk(
+            term=5,
+            index=300,
+            entry_term=4,
+            heartbeat_round=80,
+            sent_at=6_000,
+            total=70_000,
+            checksum=b"0123456789abcdef",
+            offset=32_768,
+            data=b"chunk" * 9,
+        ),
+        "chunk taken": MessageChunkReply(
+            term=5,
+            checksum=b"0123456789abcdef",
+            offset=32_768,
+            received=32_813,
+            heartbeat_round=80,
+            sent_at=6_000,
+            incarnation=LARGE,
+            recovering=False,
+        ),
+        "join": MemberRequest(leaving=False),
+        "leave": MemberRequest(leaving=True),
+        "may leave": LeaveReply(term=5, index=300),
+        "restart query": RestartQuery(number=LARGE),
+        "restart reply": RestartReply(
+            number=LARGE, incarnation=LARGE - 1, fresh=True, may_stand=False, last_term=4, last_index=300
+        ),
+        "restart reply, not fresh": RestartReply(
+            number=1, incarnation=2, fresh=False, may_stand=True, last_term=0, last_index=0
+        ),
     }
 
 
@@ -89,12 +174,12 @@
         "snapshot": Ready(1, None, [], None, Snapshot(300, 4, MEMBERS, b"state\0\xff")),
         "everything": Ready(9, hard_state, [entry(301)], 300, Snapshot(300, 4, JOINT, b"")),
     }
-    return {name: part_record(PartWrite("p0", ready)) for name, ready in writes.items()}
+    return {name: shard_record(ShardWrite("p0", ready)) for name, ready in writes.items()}
 
 
 def all_group_commits():
     made = all_records()
-    other = part_record(PartWrite("controls/1", Ready(1, None, [entry(1)])))
+    other = shard_record(ShardWrite("controls/1", Ready(1, None, [entry(1)])))
     return {
         "one shard": [made["entries"]],
         "two shards": [made["everything"], other],
@@ -113,36 +198,36 @@
 def encoded_records():
     made = {name: encode_struct(one).hex() for name, one in all_records().items()}
     members = {"members": MEMBERS.encode().hex(), "joint members": JOINT.encode().hex()}
-    commits = {f"commit, {name}": encode_parts(one).hex() for name, one in all_group_commits().items()}
+    commits = {f"commit, {name}": encode_group_commit(one).hex() for name, one in all_group_commits().items()}
     long_value = bytes(range(256)) * 4
-    pieces = {f"chunk {number}": one.hex() for number, one in enumerate(small_chunks(long_value))}
-    return made | members | commits | pieces
+    message_chunks = {f"chunk {number}": one.hex() for number, one in enumerate(small_chunks(long_value))}
+    return made | members | commits | message_chunks
 
 
 def small_chunks(value):
     """Chunks as of a value that is too long for one record, with a smaller bound."""
     with pytest.MonkeyPatch.context() as patched:
-        patched.setattr(chunks, "MOST_CHUNK", 300)
-        return list(chunks.cut(value))
+        patched.setattr(record_chunks, "MAX_CHUNK_BYTES", 300)
+        return list(record_chunks.split(value))
 
 
 def write_folder(folder):
     """Group commits, a new generation, and a value that is cut into chunks."""
     store = Storage.open(str(folder), SHARDS)
-    store.write([PartWrite("p0", Ready(1, HardState(1, "a", True, MEMBERS), [entry(1, term=1)]))])
+    store.write([ShardWrite("p0", Ready(1, HardState(1, "a", True, MEMBERS), [entry(1, term=1)]))])
     store.write(
         [
-            PartWrite("p0", Ready(2, None, [entry(2, b"two" * 300, 1), entry(3, b"three", 1)])),
-            PartWrite("p1", Ready(1, HardState(4, None, False, JOINT), [entry(1), entry(2)])),
+            ShardWrite("p0", Ready(2, None, [entry(2, b"two" * 300, 1), entry(3, b"three", 1)])),
+            ShardWrite("p1", Ready(1, HardState(4, None, False, JOINT), [entry(1), entry(2)])),
         ]
     )
     store._must_compact = True
-    store.write([PartWrite("p0", Ready(3, None, [entry(3, b"other", 2)], 3))])
-    store.write([PartWrite("p1", Ready(2, None, [], None, Snapshot(2, 3, MEMBERS, b"state\0\xff")))])
+    store.write([ShardWrite("p0", Ready(3, None, [entry(3, b"other", 2)], 3))])
+    store.write([ShardWrite("p1", Ready(2, None, [], None, Snapshot(2, 3, MEMBERS, b"state\0\xff")))])
     with pytest.MonkeyPatch.context() as patched:
-        patched.setattr(chunks, "MOST_CHUNK", 300)
-        store.write([PartWrite("p1", Ready(3, HardState(5, "ü", True, JOINT), [entry(3, b"z" * 1000)]))])
-    store.write([PartWrite("p0", Ready(4, None, [entry(4, b"last", 2)]))])
+        patched.setattr(record_chunks, "MAX_CHUNK_BYTES", 300)
+        store.write([ShardWrite("p1", Ready(3, HardState(5, "ü", True, JOINT), [entry(3, b"z" * 1000)]))])
+    store.write([ShardWrite("p0", Ready(4, None, [entry(4, b"last", 2)]))])
     store.close()
 
 
@@ -168,7 +253,7 @@
         for peer, message in ready.messages:
             self.add(peer, messages.encode(message))
         if ready.must_persist:
-            self.add(encode_struct(part_record(PartWrite("part", ready))))
+            self.add(encode_struct(shard_record(ShardWrite("part", ready))))
         for committed in ready.committed:
             self.add(encode_struct(committed))
         if ready.installed:
@@ -271,12 +356,12 @@
 def test_records_of_the_earlier_version_are_read():
     found = {name: bytes.fromhex(text) for name, text in stored("records.json").items()}
     for name, record in all_records().items():
-        assert decode_struct(records.PartRecord, found[name]) == record
-        assert encode_struct(decode_struct(records.PartRecord, found[name])) == found[name]
+        assert decode_struct(records.ShardRecord, found[name]) == record
+        assert encode_struct(decode_struct(records.ShardRecord, found[name])) == found[name]
     for name, commit in all_group_commits().items():
-        sections = decode_parts(found[f"commit, {name}"])
+        sections = decode_group_commit(found[f"commit, {name}"])
         assert [section.record for section in sections] == commit
-        assert [section.part for section in sections] == [record.part for record in commit]
+        assert [section.shard for section in sections] == [record.shard for record in commit]
     for name, members in (("members", MEMBERS), ("joint members", JOINT)):
         assert Members.decode(found[name]) == members
         assert encode_struct(decode_struct(MembersRecord, found[name])) == found[name]
@@ -284,8 +369,8 @@
 
 def test_chunks_of_the_earlier_version_are_joined():
     found = stored("records.json")
-    joiner = chunks.Joiner()
-    taken = [joiner.take(bytes.fromhex(found[f"chunk {number}"])) for number in range(4)]
+    joiner = record_chunks.Joiner()
+    taken = [joiner.add(bytes.fromhex(found[f"chunk {number}"])) for number in range(4)]
     assert taken == [None, None, None, bytes(range(256)) * 4]
 
 
@@ -313,7 +398,7 @@
     assert second.entries == [entry(3, b"z" * 1000)]
     assert store.load("p2") is None
     assert files(folder) == files(DATA / "storage")
-    store.write([PartWrite("p0", Ready(5, None, [entry(5, b"new", 2)]))])
+    store.write([ShardWrite("p0", Ready(5, None, [entry(5, b"new", 2)]))])
     store.close()
     again = Storage.open(str(folder), SHARDS)
     assert again.load("p0").entries[-1] == entry(5, b"new", 2) and again.load("p1").term == 5
--- a/tests/linked_simulation.py
+++ b/tests/linked_simulation.py
@@ -30,5 +30,5 @@
         self.longest_wait = max(self.longest_wait, free_at - self.now)
         self.free_at[sender] = free_at + size * SECOND // self.rate
         super().deliver_after(
-            self.free_at[sender] - self.now + self.network.delay_least, sender, receiver, message
+            self.free_at[sender] - self.now + self.network.min_delay, sender, receiver, message
         )
--- a/tests/simulation/disk.py
+++ b/tests/simulation/disk.py
@@ -5,7 +5,7 @@
 from collections import deque
 from random import Random
 
-from hopsail.replication.records import PartState, decode_parts, encode_parts, part_record
+from hopsail.replication.records import ShardState, decode_group_commit, encode_group_commit, shard_record
 from hopsail.replication.state import DurableState
 from hopsail.replication.storage import StorageError
 
@@ -58,19 +58,19 @@
             for act in waiting:
                 act()
 
-    def read(self) -> dict[str, PartState]:
+    def read(self) -> dict[str, ShardState]:
         """All that is synced; what is torn at the end is cut off."""
-        states: dict[str, PartState] = {}
+        states: dict[str, ShardState] = {}
         good: list[bytes] = []
         for number, value in enumerate(self.records):
-            sections = decode_parts(value)
+            sections = decode_group_commit(value)
             if sections is None or not all(section.record for section in sections):
                 if number != len(self.records) - 1:
                     raise AssertionError("a record before the last one is damaged")
                 break
             good.append(value)
             for section in sections:
-                states.setdefault(section.part, PartState()).apply(section.record)
+                states.setdefault(section.shard, ShardState()).apply(section.record)
         self.records = good
         return states
 
@@ -110,7 +110,7 @@
         self._busy = False
 
     def submit(self, batch, token) -> None:
-        value = encode_parts([part_record(write) for write in batch])
+        value = encode_group_commit([shard_record(write) for write in batch])
         self._jobs.append((value, token, self._now()))
         self._next()
 
--- a/tests/simulation/mutations.py
+++ b/tests/simulation/mutations.py
@@ -61,15 +61,15 @@
 @contextmanager
 def mutated(mutation: Mutation) -> Iterator[None]:
     """The guard is out inside of the block."""
-    original, may_survey = getattr(mutation.owner, mutation.attribute), Replica._may_survey
+    original, may_check_restarts = getattr(mutation.owner, mutation.attribute), Replica._may_check_restarts
     setattr(mutation.owner, mutation.attribute, mutation.changed(original))
     if not mutation.surveys:
-        Replica._may_survey = lambda self: False
+        Replica._may_check_restarts = lambda self: False
     try:
         yield
     finally:
         setattr(mutation.owner, mutation.attribute, original)
-        Replica._may_survey = may_survey
+        Replica._may_check_restarts = may_check_restarts
 
 
 def _forgets_what_was_taken(original):
@@ -246,7 +246,7 @@
     Mutation(
         "elects beside a leader",
         Replica,
-        "_hears_leader",
+        "_has_recent_leader",
         _elects_beside_a_leader,
         Invariant.ONE_LEADER,
         draw_link,
--- a/tests/simulation/substitutes.py
+++ b/tests/simulation/substitutes.py
@@ -39,7 +39,7 @@
 
 class _Storage(Storage):
     @classmethod
-    def open(cls, folder, part_names):
+    def open(cls, folder, shard_names):
         return SimulatedStorage(running.machine.disk)
 
 
--- a/tests/test_catching_up.py
+++ b/tests/test_catching_up.py
@@ -4,15 +4,15 @@
 from linked_simulation import SECOND, LinkedSimulation
 
 from hopsail.replication import log as log_of_replicas
-from hopsail.replication import pieces
-from hopsail.replication.log import MOST_RETAINED_BYTES, RETAINED
+from hopsail.replication import message_chunks
+from hopsail.replication.log import MAX_RETAINED_BYTES, RETAINED_ENTRIES
 from hopsail.replication.core import Role
 from hopsail.replication.messages import (
     AppendEntries,
     Entry,
     InstallSnapshot,
-    Piece,
-    PieceReply,
+    MessageChunk,
+    MessageChunkReply,
     TimeoutNow,
     encode,
 )
@@ -92,7 +92,7 @@
     assert simulation.longest_wait < 350 * MILLISECOND
     simulation.run(4 * SECOND)
     progresses = simulation.nodes[leader].replica._progress.values()
-    assert not any(progress.transfer for progress in progresses)  # nothing is kept of it
+    assert not any(progress.chunk_sender for progress in progresses)  # nothing is kept of it
 
 
 @pytest.mark.parametrize("changes", [10, 300, 5000])
@@ -124,10 +124,10 @@
             simulation.propose(leader)
         propose(simulation, 100)
         if progress.needs_snapshot:
-            sent.add(progress.transfer.whole.last_index)
+            sent.add(progress.chunk_sender.payload.last_index)
         taken.add(replica.log.snapshot_index)
         assert replica.last_index < 1000
-    assert len(sent) == 1 and max(taken) - min(taken) > 2 * RETAINED
+    assert len(sent) == 1 and max(taken) - min(taken) > 2 * RETAINED_ENTRIES
     assert simulation.leader() == leader
     simulation.check_survival()
 
@@ -140,12 +140,12 @@
     simulation.start(behind)
     simulation.run(200 * MILLISECOND)
     progress = simulation.nodes[leader].replica._progress[behind]
-    first = progress.transfer.whole
+    first = progress.chunk_sender.payload
     simulation.isolate(behind)
     propose(simulation, 400_000, 40)
     replica = simulation.nodes[leader].replica
-    assert progress.transfer.whole.last_index >= replica.log.base_index > first.last_index
-    assert replica.log.size_between(0, replica.log.snapshot_index) <= MOST_RETAINED_BYTES
+    assert progress.chunk_sender.payload.last_index >= replica.log.base_index > first.last_index
+    assert replica.log.size_between(0, replica.log.snapshot_index) <= MAX_RETAINED_BYTES
     simulation.heal()
     simulation.run_until(lambda: caught_up(simulation, behind), 8 * SECOND)
     simulation.check_survival()
@@ -174,15 +174,27 @@
 def test_half_of_a_message_is_forgotten_when_the_log_has_passed_it():
     simulation, leader, (member, _) = settled(LEAST_ON_CORE)
     replica = simulation.nodes[member].replica
-    size = pieces.PIECE_BYTES
+    size = message_chunks.CHUNK_BYTES
     index = replica.last_index + 3
-    replica._pieces.take(Piece(1, index, 1, 1, 1, 2 * size, b"checksum", 0, bytes(size)))
+    replica._chunk_receiver.add(
+        MessageChunk(
+            term=1,
+            index=index,
+            entry_term=1,
+            heartbeat_round=1,
+            sent_at=1,
+            total=2 * size,
+            checksum=b"checksum",
+            offset=0,
+            data=bytes(size),
+        )
+    )
     propose(simulation, 10, 2)
     simulation.run(300 * MILLISECOND)
-    assert replica._pieces.held_bytes == size
+    assert replica._chunk_receiver.buffered_bytes == size
     propose(simulation, 10)
     simulation.run(300 * MILLISECOND)
-    assert replica._pieces.held_bytes == 0
+    assert replica._chunk_receiver.buffered_bytes == 0
 
 
 def test_leader_changes_while_the_snapshot_is_sent():
@@ -207,7 +219,7 @@
     simulation.start(behind)
     for _ in range(3):
         simulation.run(500 * MILLISECOND)
-        assert 0 < simulation.nodes[behind].replica._pieces.held_bytes
+        assert 0 < simulation.nodes[behind].replica._chunk_receiver.buffered_bytes
         simulation.crash(behind)
         simulation.start(behind)
     simulation.run_until(lambda: caught_up(simulation, behind), 8 * SECOND)
@@ -222,7 +234,7 @@
     simulation.rate = SLOW * 4
     simulation.start(behind)
     simulation.run(600 * MILLISECOND)
-    held = simulation.nodes[behind].replica._pieces.held_bytes
+    held = simulation.nodes[behind].replica._chunk_receiver.buffered_bytes
     assert held > 500_000
     simulation.cut(leader, behind)
     simulation.run(SECOND)
@@ -280,8 +292,8 @@
         if number == 12:
             simulation.start(second)
         propose(simulation, 1000)
-        sent = [one.transfer.whole for one in replica._progress.values() if one.needs_snapshot]
-        kept.append(len({id(whole) for whole in sent}))
+        sent = [one.chunk_sender.payload for one in replica._progress.values() if one.needs_snapshot]
+        kept.append(len({id(payload) for payload in sent}))
     assert max(kept) == 1
     simulation.run_until(lambda: caught_up(simulation, first) and caught_up(simulation, second), 20 * SECOND)
     simulation.check_survival()
@@ -298,7 +310,7 @@
 @pytest.mark.parametrize("factory", [Replica, CutsAll])
 def test_schedules_with_many_pieces(monkeypatch, factory, voters, spares):
     """Faults at random, with pieces of a few bytes and a snapshot after every third entry."""
-    monkeypatch.setattr(pieces, "PIECE_BYTES", 16)
+    monkeypatch.setattr(message_chunks, "CHUNK_BYTES", 16)
     acknowledged = 0
     for seed in range(60):
         options = {"voters": voters, "spares": spares, "snapshot_after": 3}
@@ -372,22 +384,47 @@
     replica = simulation.nodes[leader].replica
     progress = replica._progress[behind]
     assert progress.needs_snapshot
-    progress.matched(replica.log.base_index)
+    progress.record_match(replica.log.base_index)
     replica.take_ready()
     assert not progress.needs_snapshot
 
 
 @pytest.mark.parametrize(
-    "message", [TimeoutNow(1), AppendEntries(0, 0, 0, 0, 1, 1, 0, 0, [Entry(0, 1, 1, b"old")]), None]
+    "message",
+    [
+        TimeoutNow(term=1),
+        AppendEntries(
+            term=0,
+            prev_index=0,
+            prev_term=0,
+            commit=0,
+            heartbeat_round=1,
+            sent_at=1,
+            recover_incarnation=0,
+            recover_index=0,
+            entries=[Entry(term=0, index=1, kind=1, data=b"old")],
+        ),
+        None,
+    ],
 )
 def test_pieces_that_add_up_to_what_is_never_sent_in_pieces_change_nothing(message):
     simulation, leader, (member, _) = settled(LEAST_ON_CORE)
     replica = simulation.nodes[member].replica
     data = encode(message) if message else b"\xff no message"
     term, index = replica.term, replica.last_index
-    piece = Piece(term, index + 9, term, 1, 1, len(data), pieces.checksum_of(data), 0, data)
-    replica.receive(simulation.now, leader, piece)
-    assert [type(sent) for _, sent in replica.take_ready().messages] == [PieceReply]
+    chunk = MessageChunk(
+        term=term,
+        index=index + 9,
+        entry_term=term,
+        heartbeat_round=1,
+        sent_at=1,
+        total=len(data),
+        checksum=message_chunks.checksum_of(data),
+        offset=0,
+        data=data,
+    )
+    replica.receive(simulation.now, leader, chunk)
+    assert [type(sent) for _, sent in replica.take_ready().messages] == [MessageChunkReply]
     assert (replica.term, replica.last_index, replica.role) == (term, index, Role.FOLLOWER)
 
 
@@ -396,21 +433,49 @@
     simulation.transfer(leader)
     simulation.run(500 * MILLISECOND)
     replica = simulation.nodes[member].replica
-    heard = replica._leader_heard_at
-    replica.receive(simulation.now, leader, Piece(1, 99, 1, 1, 1, 1 << 20, b"checksum", 0, bytes(100)))
-    assert replica.term > 1 and replica._pieces.held_bytes == 0 and replica._leader_heard_at == heard
+    heard = replica._last_leader_contact_at
+    replica.receive(
+        simulation.now,
+        leader,
+        MessageChunk(
+            term=1,
+            index=99,
+            entry_term=1,
+            heartbeat_round=1,
+            sent_at=1,
+            total=1 << 20,
+            checksum=b"checksum",
+            offset=0,
+            data=bytes(100),
+        ),
+    )
+    assert (
+        replica.term > 1
+        and replica._chunk_receiver.buffered_bytes == 0
+        and replica._last_leader_contact_at == heard
+    )
 
 
 def test_piece_is_answered_only_when_its_term_is_synced():
     simulation, leader, (member, _) = settled(LEAST_ON_CORE)
     replica = simulation.nodes[member].replica
-    piece = Piece(replica.term + 1, 99, 1, 1, 1, 1 << 20, b"checksum", 0, bytes(100))
-    replica.receive(simulation.now, leader, piece)
+    chunk = MessageChunk(
+        term=replica.term + 1,
+        index=99,
+        entry_term=1,
+        heartbeat_round=1,
+        sent_at=1,
+        total=1 << 20,
+        checksum=b"checksum",
+        offset=0,
+        data=bytes(100),
+    )
+    replica.receive(simulation.now, leader, chunk)
     ready = replica.take_ready()
     assert ready.must_persist and not ready.messages
     assert replica.take_ready() is None
     replica.persisted(simulation.now, ready.serial)
-    assert [type(sent) for _, sent in replica.take_ready().messages] == [PieceReply]
+    assert [type(sent) for _, sent in replica.take_ready().messages] == [MessageChunkReply]
 
 
 def test_log_that_agrees_with_a_snapshot_is_kept():
@@ -422,7 +487,15 @@
     last, before = replica.last_index, replica.commit_index
     replica.commit_index = before - 3  # as if it had not heard yet
     record = replica.members.record()
-    late = InstallSnapshot(replica.term, before - 1, replica.term, 1, 1, record, b"")
+    late = InstallSnapshot(
+        term=replica.term,
+        index=before - 1,
+        entry_term=replica.term,
+        heartbeat_round=1,
+        sent_at=1,
+        members=record,
+        data=b"",
+    )
     replica.receive(simulation.now, leader, late)
     assert replica.last_index == last and replica.commit_index == before - 1
     assert replica.log.snapshot is None
@@ -502,7 +575,7 @@
 
 def test_member_installs_a_snapshot_taken_in_a_joint_state(monkeypatch):
     """It counts both sets of voters, also after a restart, and the change is finished with its vote."""
-    monkeypatch.setattr(log_of_replicas, "RETAINED", 1)
+    monkeypatch.setattr(log_of_replicas, "RETAINED_ENTRIES", 1)
     simulation, leader, (behind, leaving, _) = settled(
         LEAST_ON_CORE, snapshot_after=5, spares=1, factory=HoldsChangesOpen
     )
--- a/tests/test_controlplane_second_loss.py
+++ b/tests/test_controlplane_second_loss.py
@@ -131,8 +131,13 @@
     fleet.run_until(lambda: fleet.may_leave(leaving), 3 * SECOND)
     fleet.kill(leaving, wipe=True)
     fleet.kill(leader, wipe=True)
-    held = fleet.simulation.nodes[behind].replica
-    kept = {entry.data for entry in held.log.slice(held.log.base_index + 1, held.last_index)}
+    pending_messages = fleet.simulation.nodes[behind].replica
+    kept = {
+        entry.data
+        for entry in pending_messages.log.slice(
+            pending_messages.log.base_index + 1, pending_messages.last_index
+        )
+    }
     assert kept >= set(fleet.simulation.checker.acknowledged)
 
 
--- a/tests/test_controlplane_steps.py
+++ b/tests/test_controlplane_steps.py
@@ -25,7 +25,7 @@
 from hopsail.controlplane.shard import UNREADABLE_COMMAND, Shard
 from hopsail.replication import log
 from hopsail.replication.messages import AppendEntriesReply
-from hopsail.replication.replica import STILL_HEARD
+from hopsail.replication.replica import RECENT_REPLY_NS
 from hopsail.replication.state import MILLISECOND, Members, Ready, Snapshot
 
 TENANTS = 4 * STEP_ITEMS
@@ -380,14 +380,14 @@
 @pytest.fixture
 def behind_a_large_state(monkeypatch):
     """Starts a control side with a large configuration, and a member that needs it after it lost its disk."""
-    monkeypatch.setattr(log, "RETAINED", 1)
+    monkeypatch.setattr(log, "RETAINED_ENTRIES", 1)
 
     def start(seed: int):
         simulation, operators = started(seed=seed, snapshot_after=3)
         acknowledged(simulation, operators)
         wiped = others(simulation, simulation.settled_leader())[0]
         simulation.crash(wiped, wipe=True)
-        simulation.run(STILL_HEARD)
+        simulation.run(RECENT_REPLY_NS)
         taken(simulation, operators, large(500), is_patch=False)
         for revision in range(501, 508):
             taken(simulation, operators, {"Revision": revision}, is_patch=True)
--- a/tests/test_controlplane_voters.py
+++ b/tests/test_controlplane_voters.py
@@ -257,7 +257,7 @@
     def tick(self, now):
         pass
 
-    def last_heard(self, identity):
+    def last_reply_time(self, identity):
         return self.heard.get(identity)
 
     def is_leaving(self, identity):
--- a/tests/test_old_configurations.py
+++ b/tests/test_old_configurations.py
@@ -17,11 +17,12 @@
 from hopsail.feed.topics import Topic
 from hopsail.hosts.instance import Phase
 from hopsail.replication.schedule import CALM, ROUGH
-from hopsail.replication.state import MILLISECOND, ReplicaRules
+from hopsail.replication.state import MILLISECOND, ReplicaConfig
 
 SECOND = 1000 * MILLISECOND
 SOON = 600 * MILLISECOND
-PROMISE = ReplicaRules("").election_least  # a restarted voter votes no earlier, unless all have restarted
+# A restarted voter votes no earlier, unless all have restarted.
+PROMISE = ReplicaConfig("").min_election_timeout_ns
 SCHEDULES = 60
 REVISION = (Topic.CONFIGURATION, "revision")
 
@@ -208,7 +209,7 @@
     simulation.run_until(lambda: any(process.journal.get(*REVISION) for process in processes))
     fed_at = simulation.now
     simulation.run_until(lambda: plane.ready)
-    assert plane.ready_at - fed_at <= 2 * simulation.network.delay_most
+    assert plane.ready_at - fed_at <= 2 * simulation.network.max_delay
 
 
 def test_a_loss_of_power_that_leaves_one_process_lets_data_planes_serve():
--- a/tests/test_passed_on_commands.py
+++ b/tests/test_passed_on_commands.py
@@ -93,7 +93,7 @@
         self.link(sender).put(
             (receiver, "replicas"),
             len(encode_message(message)),
-            lambda: later(self.network.delay_least, sender, receiver, message),
+            lambda: later(self.network.min_delay, sender, receiver, message),
         )
 
 
--- a/tests/test_replication.py
+++ b/tests/test_replication.py
@@ -15,8 +15,8 @@
     MemberRequest,
     MembersRecord,
     MessageError,
-    Piece,
-    PieceReply,
+    MessageChunk,
+    MessageChunkReply,
     RequestVote,
     RequestVoteReply,
     RestartQuery,
@@ -27,23 +27,69 @@
 )
 from hopsail.replication.replica import Replica
 from hopsail.replication.simulation import Simulation
-from hopsail.replication.state import MILLISECOND, Busy, DurableState, Members, NotLeader, ReplicaRules
+from hopsail.replication.state import MILLISECOND, Busy, DurableState, Members, NotLeader, ReplicaConfig
 
 MESSAGES = [
-    RequestVote(3, 7, 2, True, False),
-    RequestVoteReply(3, True, False),
-    AppendEntries(3, 7, 2, 6, 11, 1 << 60, 5, 6, [Entry(3, 8, 1, b"\0data"), Entry(3, 9, 0, b"")]),
-    AppendEntriesReply(3, False, 0, 4, 11, 1 << 60, 1 << 62, True),
-    InstallSnapshot(3, 7, 2, 11, 5, MembersRecord(["a:1", "b:1"], []), b"\xff" * 300),
-    InstallSnapshotReply(3, 7, 11, 5, 9, False),
-    TimeoutNow(3),
-    Piece(3, 7, 2, 11, 1 << 60, 1 << 20, b"c" * 16, 1 << 15, b"\0piece"),
-    PieceReply(3, b"c" * 16, 0, 1 << 15, 11, 1 << 60, 9, True),
-    MemberRequest(True),
-    LeaveReply(3, 9),
-    RequestVote(3, 7, 2, False, False, 1 << 61),
-    RestartQuery(1 << 61),
-    RestartReply(1 << 61, 1 << 60, True, False, 2, 7),
+    RequestVote(term=3, last_index=7, last_term=2, pre_vote=True, transfer=False),
+    RequestVoteReply(term=3, granted=True, pre_vote=False),
+    AppendEntries(
+        term=3,
+        prev_index=7,
+        prev_term=2,
+        commit=6,
+        heartbeat_round=11,
+        sent_at=1 << 60,
+        recover_incarnation=5,
+        recover_index=6,
+        entries=[Entry(term=3, index=8, kind=1, data=b"\0data"), Entry(term=3, index=9, kind=0, data=b"")],
+    ),
+    AppendEntriesReply(
+        term=3,
+        success=False,
+        match=0,
+        hint=4,
+        heartbeat_round=11,
+        sent_at=1 << 60,
+        incarnation=1 << 62,
+        recovering=True,
+    ),
+    InstallSnapshot(
+        term=3,
+        index=7,
+        entry_term=2,
+        heartbeat_round=11,
+        sent_at=5,
+        members=MembersRecord(voters=["a:1", "b:1"], learners=[]),
+        data=b"\xff" * 300,
+    ),
+    InstallSnapshotReply(term=3, match=7, heartbeat_round=11, sent_at=5, incarnation=9, recovering=False),
+    TimeoutNow(term=3),
+    MessageChunk(
+        term=3,
+        index=7,
+        entry_term=2,
+        heartbeat_round=11,
+        sent_at=1 << 60,
+        total=1 << 20,
+        checksum=b"c" * 16,
+        offset=1 << 15,
+        data=b"\0piece",
+    ),
+    MessageChunkReply(
+        term=3,
+        checksum=b"c" * 16,
+        offset=0,
+        received=1 << 15,
+        heartbeat_round=11,
+        sent_at=1 << 60,
+        incarnation=9,
+        recovering=True,
+    ),
+    MemberRequest(leaving=True),
+    LeaveReply(term=3, index=9),
+    RequestVote(term=3, last_index=7, last_term=2, pre_vote=False, transfer=False, incarnation=1 << 61),
+    RestartQuery(number=1 << 61),
+    RestartReply(number=1 << 61, incarnation=1 << 60, fresh=True, may_stand=False, last_term=2, last_index=7),
 ]
 
 
@@ -80,15 +126,15 @@
 
 def test_rules_are_checked():
     with pytest.raises(ValueError):
-        ReplicaRules("a", lease=500 * MILLISECOND)
+        ReplicaConfig("a", lease_duration_ns=500 * MILLISECOND)
     with pytest.raises(ValueError):
-        ReplicaRules("a", heartbeat=700 * MILLISECOND)
+        ReplicaConfig("a", heartbeat_interval_ns=700 * MILLISECOND)
 
 
 def test_single_voter_leads_and_commits_after_its_sync():
-    rules = ReplicaRules("a")
+    config = ReplicaConfig("a")
     durable = DurableState(members=Members(("a",)), recovered=True)
-    replica = Replica(rules, random.Random(1), 0, durable, False)
+    replica = Replica(config, random.Random(1), 0, durable, False)
     replica.tick(replica.due)
     ready = replica.take_ready()
     assert ready.must_persist and not replica.is_leader
@@ -116,7 +162,7 @@
 def test_queue_of_uncommitted_entries_is_bounded():
     simulation, leader, others = settled()
     simulation.isolate(leader.identity)
-    for number in range(leader.rules.most_uncommitted):
+    for number in range(leader.config.max_uncommitted_entries):
         leader.propose(simulation.now, b"%d" % number)
     with pytest.raises(Busy):
         leader.propose(simulation.now, b"one more")
@@ -126,7 +172,7 @@
     simulation, leader, _ = settled()
     simulation.isolate(leader.identity)
     token = leader.read_index(simulation.now)
-    simulation.run(leader.rules.lease)
+    simulation.run(leader.config.lease_duration_ns)
     assert not leader.lease_valid(simulation.now) and leader.read_ready(token) is False
     simulation.run(400 * MILLISECOND)
     assert not leader.is_leader and leader.read_ready(token) is None
@@ -155,7 +201,7 @@
         simulation.propose_members(leader.identity, leader.voters, ())
     simulation.run_until(lambda: leader.is_caught_up("r3"))
     assert not spare.recovering and leader.peer_match("r3") == leader.last_index
-    assert leader.last_heard("r3") is not None and leader.last_heard("nobody") is None
+    assert leader.last_reply_time("r3") is not None and leader.last_reply_time("nobody") is None
     for voters in [(), ("r0", "r0", "r1")]:
         with pytest.raises(ValueError):
             simulation.propose_members(leader.identity, voters, ())
--- a/tests/test_replication_earlier_life.py
+++ b/tests/test_replication_earlier_life.py
@@ -19,7 +19,7 @@
         if receiver in behind and isinstance(message, AppendEntries) and message.entries:
             return True  # these hear of the leader, and get none of its entries
         late = sender == wiped and isinstance(message, AppendEntriesReply)
-        if late and simulation.nodes[wiped].life == 1 and proposed and message.match >= proposed[0]:
+        if late and simulation.nodes[wiped].incarnation == 1 and proposed and message.match >= proposed[0]:
             held.append(message)
             return True
         return False
@@ -30,7 +30,7 @@
     simulation.run_until(lambda: held)
     simulation.crash(wiped, wipe=True)
     simulation.start(wiped)
-    assert simulation.nodes[wiped].life > 1
+    assert simulation.nodes[wiped].incarnation > 1
     simulation.run(300 * MILLISECOND)
     assert leader.is_leader and leader.commit_index < proposed[0]
     for message in held:
@@ -45,27 +45,27 @@
 
 def test_once_a_later_life_has_answered_an_earlier_one_is_heard_no_more():
     progress = Progress(7)
-    assert progress.meets(1, False, 7, 10)
-    assert progress.meets(2, True, 7, 20)
-    progress.matched(3)
-    assert not progress.meets(1, False, 7, 10)
-    assert progress.recovering and progress.match == 3 and progress.meets(2, True, 7, 20)
+    assert progress.accept_incarnation(1, False, 7, 10)
+    assert progress.accept_incarnation(2, True, 7, 20)
+    progress.record_match(3)
+    assert not progress.accept_incarnation(1, False, 7, 10)
+    assert progress.recovering and progress.match == 3 and progress.accept_incarnation(2, True, 7, 20)
 
 
 def test_an_earlier_life_that_was_never_heard_in_the_term_does_not_take_the_place_of_a_later_one():
     progress = Progress(7)
-    assert progress.meets(2, True, 7, 20)
-    progress.matched(3)
+    assert progress.accept_incarnation(2, True, 7, 20)
+    progress.record_match(3)
     for sent_at in (10, 20):
-        assert not progress.meets(1, False, 7, sent_at)
+        assert not progress.accept_incarnation(1, False, 7, sent_at)
     assert progress.incarnation == 2 and progress.recovering and progress.match == 3
 
 
 def test_a_later_life_is_taken_at_its_first_answer_to_a_later_message():
     progress = Progress(7)
-    assert progress.meets(1, False, 7, 20)
-    progress.matched(3)
-    assert progress.meets(2, True, 7, 21)
+    assert progress.accept_incarnation(1, False, 7, 20)
+    progress.record_match(3)
+    assert progress.accept_incarnation(2, True, 7, 21)
     assert progress.incarnation == 2 and progress.recovering and progress.match == 0
 
 
@@ -81,7 +81,7 @@
     def intercept(sender, receiver, message):
         if receiver in behind and isinstance(message, AppendEntries) and message.entries:
             return True
-        if sender == wiped and simulation.nodes[wiped].life == 1 and receiver == leading:
+        if sender == wiped and simulation.nodes[wiped].incarnation == 1 and receiver == leading:
             held.append(message)
             return True
         return False
--- a/tests/test_replication_joint.py
+++ b/tests/test_replication_joint.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hopsail.replication.log import RETAINED, Log
+from hopsail.replication.log import RETAINED_ENTRIES, Log
 from hopsail.replication.messages import (
     AppendEntries,
     AppendEntriesReply,
@@ -15,7 +15,7 @@
     RequestVote,
 )
 from hopsail.replication.progress import NEVER
-from hopsail.replication.records import PartState, PartWrite, SnapshotRecord, part_record
+from hopsail.replication.records import ShardState, ShardWrite, SnapshotRecord, shard_record
 from hopsail.replication.replica import Replica
 from hopsail.replication.schedule import Weights, play_schedule
 from hopsail.replication.simulation import Simulation, Violation
@@ -25,7 +25,7 @@
     DurableState,
     Members,
     Ready,
-    ReplicaRules,
+    ReplicaConfig,
     Snapshot,
 )
 from hopsail.replication.structs import Struct, decode_struct, encode_struct, specification
@@ -98,14 +98,14 @@
 
     Either of the two is enough here: `test_replication_earlier_life.py` has the second one alone."""
 
-    def _meet_members(self):
-        super()._meet_members()
-        self._former.clear()
+    def _update_member_progress(self):
+        super()._update_member_progress()
+        self._former_progress.clear()
 
-    def _take_reply(self, peer, reply):
+    def _process_reply(self, peer, reply):
         if peer in self._progress:
             self._progress[peer].answered_sent_at = NEVER
-        return super()._take_reply(peer, reply)
+        return super()._process_reply(peer, reply)
 
 
 class LeavesItsOldVotersAlone(Replica):
@@ -206,9 +206,9 @@
 def test_a_snapshot_taken_in_the_middle_of_a_change_keeps_both_sets():
     joint = Members(("a", "b", "d"), (), ("a", "b", "c"))
     snapshot = Snapshot(9, 2, joint, b"data")
-    kept = part_record(PartWrite("part", Ready(snapshot_to_store=snapshot))).snapshot
-    state = PartState()
-    state.apply(part_record(PartWrite("part", Ready(snapshot_to_store=snapshot))))
+    kept = shard_record(ShardWrite("shard", Ready(snapshot_to_store=snapshot))).snapshot
+    state = ShardState()
+    state.apply(shard_record(ShardWrite("shard", Ready(snapshot_to_store=snapshot))))
     assert decode_struct(SnapshotRecord, encode_struct(kept)) == kept
     assert Log(state.durable().snapshot, [], Members()).members == joint
 
@@ -216,14 +216,14 @@
 def test_the_log_tells_who_voted_before_a_change():
     log = Log(None, [], Members(("a", "b", "c")))
     joint = Members(("a", "b", "d"), (), ("a", "b", "c"))
-    log.append([Entry(1, 1, int(EntryKind.MEMBERS), joint.encode())])
-    assert log.members == joint and set(log.electors_before) == {"a", "b", "c"}
-    log.append([Entry(1, 2, int(EntryKind.MEMBERS), joint.final().encode())])
-    assert set(log.electors_before) == {"a", "b", "c", "d"}
+    log.append([Entry(term=1, index=1, kind=int(EntryKind.MEMBERS), data=joint.encode())])
+    assert log.members == joint and set(log.previous_electors) == {"a", "b", "c"}
+    log.append([Entry(term=1, index=2, kind=int(EntryKind.MEMBERS), data=joint.final().encode())])
+    assert set(log.previous_electors) == {"a", "b", "c", "d"}
     log.truncate(2)
     assert log.members == joint
     log.truncate(1)
-    assert log.members == Members(("a", "b", "c")) and log.electors_before == ()
+    assert log.members == Members(("a", "b", "c")) and log.previous_electors == ()
 
 
 def other_leader(simulation, leader):
@@ -337,7 +337,7 @@
         simulation.propose_members(leader, (leader, "r3", "r4"), ())
         cut_between(simulation, [leader], ["r3", "r4"] if kept == "old" else others)
         token = replica.read_index(simulation.now)
-        simulation.run(replica.rules.lease + 50 * MILLISECOND)
+        simulation.run(replica.config.lease_duration_ns + 50 * MILLISECOND)
         assert replica.is_leader and not replica.lease_valid(simulation.now)
         assert replica.read_ready(token) is False
         simulation.run(200 * MILLISECOND)
@@ -445,7 +445,11 @@
     gone, replica, held = others[0], simulation.nodes[leader].replica, []
 
     def intercept(sender, receiver, message):
-        if sender == gone and isinstance(message, AppendEntriesReply) and simulation.nodes[gone].life == 1:
+        if (
+            sender == gone
+            and isinstance(message, AppendEntriesReply)
+            and simulation.nodes[gone].incarnation == 1
+        ):
             held.append(message)
         return False
 
@@ -559,7 +563,7 @@
     swap(simulation, leader, gone, "r3")
     simulation.run(100 * MILLISECOND)
     replica = simulation.nodes[leader].replica
-    assert replica.log.electors_before and replica.log.members_index > replica.commit_index
+    assert replica.log.previous_electors and replica.log.members_index > replica.commit_index
     rest = [name for name in (gone, other, "r3") if name != wiped]
     cut_between(simulation, [leader], rest)
     simulation.crash(wiped, wipe=True)
@@ -597,15 +601,15 @@
 
 
 def test_a_learner_with_an_empty_log_catches_up_while_the_leader_compacts():
-    simulation = Simulation(5, voters=3, spares=1, snapshot_after=RETAINED // 4)
+    simulation = Simulation(5, voters=3, spares=1, snapshot_after=RETAINED_ENTRIES // 4)
     leader = simulation.run_until(simulation.settled_leader)
     replica = simulation.nodes[leader].replica
-    for _ in range(4 * RETAINED):
+    for _ in range(4 * RETAINED_ENTRIES):
         simulation.propose(leader)
         simulation.run(8 * MILLISECOND)
     assert replica.log.base_index > 0
     simulation.propose_members(leader, replica.voters, ("r3",))
-    for _ in range(2 * RETAINED):
+    for _ in range(2 * RETAINED_ENTRIES):
         simulation.propose(leader)
         simulation.run(8 * MILLISECOND)
     simulation.run_until(lambda: replica.is_caught_up("r3"))
@@ -618,18 +622,30 @@
 def test_nothing_is_kept_of_a_snapshot_on_its_way_to_one_that_goes():
     simulation, leader, _ = settled(spares=0, snapshot_after=5)
     replica = simulation.nodes[leader].replica
-    for _ in range(2 * RETAINED):
+    for _ in range(2 * RETAINED_ENTRIES):
         simulation.propose(leader)
         simulation.run(8 * MILLISECOND)
     simulation.propose_members(leader, replica.voters, ("away",))
     progress = replica._progress["away"]
     simulation.run_until(lambda: not replica._is_changing)
-    replica._on_append_entries_reply("away", AppendEntriesReply(replica.term, False, 0, 0, 1, 0, 7, True))
+    replica._on_append_entries_reply(
+        "away",
+        AppendEntriesReply(
+            term=replica.term,
+            success=False,
+            match=0,
+            hint=0,
+            heartbeat_round=1,
+            sent_at=0,
+            incarnation=7,
+            recovering=True,
+        ),
+    )
     simulation._work(simulation.nodes[leader])
     assert progress.needs_snapshot
     simulation.run(100 * MILLISECOND)
     simulation.propose_members(leader, replica.voters, ())
-    assert progress.transfer is None
+    assert progress.chunk_sender is None
 
 
 def test_a_new_voter_may_be_behind_and_still_nothing_is_lost():
@@ -653,9 +669,9 @@
 
 def test_a_replica_that_starts_in_a_joint_state_needs_both_sets():
     joint = Members(("a", "b", "d"), (), ("a", "b", "c"))
-    entries = [Entry(1, 1, int(EntryKind.MEMBERS), joint.encode())]
+    entries = [Entry(term=1, index=1, kind=int(EntryKind.MEMBERS), data=joint.encode())]
     durable = DurableState(term=1, entries=entries, members=Members(("a", "b", "c")), recovered=True)
-    replica = Replica(ReplicaRules("a"), Random(1), 0, durable, False)
+    replica = Replica(ReplicaConfig("a"), Random(1), 0, durable, False)
     asked = set()
     while not asked:
         replica.tick(replica.due)
@@ -671,11 +687,11 @@
     """The last entry of a change may be lost with its leader; then the old voters are needed once more."""
     first, last = Members(("a", "b", "c")), Members(("a", "b", "d"))
     joint = Members(last.voters, (), first.voters)
-    entries = [Entry(1, 1, int(EntryKind.MEMBERS), first.encode())]
+    entries = [Entry(term=1, index=1, kind=int(EntryKind.MEMBERS), data=first.encode())]
     durable = DurableState(term=1, entries=entries, members=first, recovered=True)
-    replica = Replica(ReplicaRules("c"), Random(1), 0, durable, False)
+    replica = Replica(ReplicaConfig("c"), Random(1), 0, durable, False)
     for index, members in [(2, joint), (3, last)]:
-        replica.log.append([Entry(1, index, int(EntryKind.MEMBERS), members.encode())])
+        replica.log.append([Entry(term=1, index=index, kind=int(EntryKind.MEMBERS), data=members.encode())])
         replica.commit_index = index - 1
         assert replica.members == members and replica.is_voter
     replica.commit_index = 3
@@ -684,8 +700,14 @@
 
 def test_a_snapshot_of_a_joint_state_is_installed_as_such():
     joint = Members(("a", "b", "d"), (), ("a", "b", "c"))
-    replica = Replica(ReplicaRules("d"), Random(1), 0, DurableState(), True)
-    replica.receive(1, "a", InstallSnapshot(3, 9, 2, 1, 1, joint.record(), b"x"))
+    replica = Replica(ReplicaConfig("d"), Random(1), 0, DurableState(), True)
+    replica.receive(
+        1,
+        "a",
+        InstallSnapshot(
+            term=3, index=9, entry_term=2, heartbeat_round=1, sent_at=1, members=joint.record(), data=b"x"
+        ),
+    )
     assert replica.members == joint
 
 
--- a/tests/test_replication_restarts.py
+++ b/tests/test_replication_restarts.py
@@ -15,14 +15,14 @@
     TimeoutNow,
 )
 from hopsail.replication.replica import Replica
-from hopsail.replication.restarts import ASK_AGAIN_AFTER
+from hopsail.replication.restart_checks import RESTART_QUERY_INTERVAL_NS
 from hopsail.replication.schedule import Weights, play_schedule
 from hopsail.replication.simulation import Simulation
-from hopsail.replication.state import MILLISECOND, DurableState, Members, ReplicaRules
+from hopsail.replication.state import MILLISECOND, DurableState, Members, ReplicaConfig
 
-RULES = ReplicaRules("r0")
+CONFIG = ReplicaConfig("r0")
 START = 1_000_000 * MILLISECOND
-OVER = START + RULES.election_least
+OVER = START + CONFIG.min_election_timeout_ns
 VOTERS = ("r0", "r1", "r2")
 LAST_TERM, LAST_INDEX = 3, 2
 LOWEST, HIGHEST = 0, 1 << 62  # incarnations that lose and win where logs are the same
@@ -31,9 +31,9 @@
 
 def restarted(members: Members | None = None, entries: list[Entry] | None = None) -> Replica:
     """A replica that has restarted just now, with two entries in its log."""
-    entries = entries or [Entry(3, index, int(EntryKind.NOOP), b"") for index in (1, 2)]
+    entries = entries or [Entry(term=3, index=index, kind=int(EntryKind.NOOP), data=b"") for index in (1, 2)]
     durable = DurableState(term=3, entries=entries, members=members or Members(VOTERS), recovered=True)
-    return Replica(RULES, Random(1), START, durable, False, START)
+    return Replica(CONFIG, Random(1), START, durable, False, START)
 
 
 def sent(replica: Replica, now: int) -> list:
@@ -50,9 +50,9 @@
     return [(peer, message) for peer, message in messages if isinstance(message, kind)]
 
 
-def answer(query: RestartQuery, life: int, **other) -> RestartReply:
-    fields = {"fresh": True, "able": True, "last_term": LAST_TERM, "last_index": LAST_INDEX} | other
-    return RestartReply(query.number, life, **fields)
+def answer(query: RestartQuery, incarnation: int, **other) -> RestartReply:
+    fields = {"fresh": True, "may_stand": True, "last_term": LAST_TERM, "last_index": LAST_INDEX} | other
+    return RestartReply(number=query.number, incarnation=incarnation, **fields)
 
 
 class Asker:
@@ -66,19 +66,19 @@
     def queries(self) -> dict[str, RestartQuery]:
         return dict(of(RestartQuery, self.sent))
 
-    def take(self, sender: str, message) -> None:
+    def receive(self, sender: str, message) -> None:
         self.now += MILLISECOND
         self.replica.receive(self.now, sender, message)
         self.sent = sent(self.replica, self.now)
 
-    def round(self, lives: dict[str, int], **other) -> None:
+    def answer_all(self, incarnations: dict[str, int], **other) -> None:
         """All members answer the questions sent last."""
         queries = self.queries()
-        for name, life in lives.items():
-            self.take(name, answer(queries[name], life, **other))
+        for name, incarnation in incarnations.items():
+            self.receive(name, answer(queries[name], incarnation, **other))
 
     def again(self) -> None:
-        self.now += ASK_AGAIN_AFTER
+        self.now += RESTART_QUERY_INTERVAL_NS
         self.replica.tick(self.now)
         self.sent = sent(self.replica, self.now)
 
@@ -86,69 +86,82 @@
         return dict(of(RequestVote, self.sent))
 
 
-LIVES = {"r1": LOWEST + 1, "r2": LOWEST + 2}
+INCARNATIONS = {"r1": LOWEST + 1, "r2": LOWEST + 2}
 
 
 def test_it_stands_once_all_have_told_twice_that_they_have_restarted():
     asker = Asker()
-    assert asker.queries().keys() == LIVES.keys()
+    assert asker.queries().keys() == INCARNATIONS.keys()
     first = asker.queries()["r1"].number
-    asker.round(LIVES)
+    asker.answer_all(INCARNATIONS)
     assert not asker.requests() and asker.queries()["r1"].number != first
-    asker.round(LIVES)
+    asker.answer_all(INCARNATIONS)
     requests = asker.requests()
-    assert {name: request.life for name, request in requests.items()} == LIVES
-    assert not any(request.pre for request in requests.values()) and asker.now < OVER
+    assert {name: request.incarnation for name, request in requests.items()} == INCARNATIONS
+    assert not any(request.pre_vote for request in requests.values()) and asker.now < OVER
 
 
 def test_one_round_is_not_enough():
     """A member that was fresh may have led since; only the second round shows that it has not."""
     asker = Asker()
-    asker.round(LIVES)
-    asker.round(LIVES, fresh=False)
+    asker.answer_all(INCARNATIONS)
+    asker.answer_all(INCARNATIONS, fresh=False)
     assert not asker.requests() and asker.replica.role.value == "follower"
 
 
 def test_who_was_in_another_life_at_the_first_round_is_asked_again():
     """Its promise in the life between may have been given after the others were asked."""
     asker = Asker()
-    asker.round(LIVES)
-    asker.round(LIVES | {"r2": 77})
+    asker.answer_all(INCARNATIONS)
+    asker.answer_all(INCARNATIONS | {"r2": 77})
     assert not asker.requests()
     asker.again()
-    asker.round(LIVES | {"r2": 77})
+    asker.answer_all(INCARNATIONS | {"r2": 77})
     assert not asker.requests()
-    asker.round(LIVES | {"r2": 77})
-    assert asker.requests()["r2"].life == 77
+    asker.answer_all(INCARNATIONS | {"r2": 77})
+    assert asker.requests()["r2"].incarnation == 77
 
 
 def test_answers_to_an_earlier_round_do_not_count():
     asker = Asker()
     queries = asker.queries()
-    asker.round(LIVES)
-    for name, life in LIVES.items():
-        asker.take(name, answer(queries[name], life))
+    asker.answer_all(INCARNATIONS)
+    for name, incarnation in INCARNATIONS.items():
+        asker.receive(name, answer(queries[name], incarnation))
     assert not asker.requests() and asker.replica.role.value == "follower"
 
 
 def test_a_member_that_does_not_answer_is_waited_for():
     asker = Asker()
-    asker.take("r1", answer(asker.queries()["r1"], 1))
+    asker.receive("r1", answer(asker.queries()["r1"], 1))
     assert not asker.queries()
     asker.again()
     assert asker.queries().keys() == {"r2"}
-    while asker.now < OVER - ASK_AGAIN_AFTER:
+    while asker.now < OVER - RESTART_QUERY_INTERVAL_NS:
         asker.again()
         assert not asker.requests()
 
 
 def test_who_has_heard_a_leader_asks_no_more_and_does_not_stand():
     asker = Asker()
-    asker.round(LIVES)
+    asker.answer_all(INCARNATIONS)
     queries = asker.queries()
-    asker.take("r1", AppendEntries(3, 2, 3, 0, 1, 1, 0, 0, []))
-    for name, life in LIVES.items():
-        asker.take(name, answer(queries[name], life))
+    asker.receive(
+        "r1",
+        AppendEntries(
+            term=3,
+            prev_index=2,
+            prev_term=3,
+            commit=0,
+            round=1,
+            sent_at=1,
+            recover_incarnation=0,
+            recover_index=0,
+            entries=[],
+        ),
+    )
+    for name, incarnation in INCARNATIONS.items():
+        asker.receive(name, answer(queries[name], incarnation))
     assert not asker.requests() and asker.replica.role.value == "follower"
     asker.again()
     assert not asker.queries()
@@ -156,8 +169,8 @@
 
 def test_who_stands_asks_no_more():
     asker = Asker()
-    asker.round(LIVES)
-    asker.round(LIVES)
+    asker.answer_all(INCARNATIONS)
+    asker.answer_all(INCARNATIONS)
     assert asker.requests()
     asker.again()
     assert not asker.queries() and not asker.requests()
@@ -165,21 +178,21 @@
 
 def test_once_the_promise_is_over_nobody_is_asked():
     asker = Asker()
-    asker.now = OVER - ASK_AGAIN_AFTER
+    asker.now = OVER - RESTART_QUERY_INTERVAL_NS
     asker.again()
     assert not asker.queries()
 
 
 def test_a_replica_that_is_new_asks_nobody():
     durable = DurableState(members=Members(VOTERS), recovered=True)
-    replica = Replica(RULES, Random(1), START, durable, False, START)
+    replica = Replica(CONFIG, Random(1), START, durable, False, START)
     replica.tick(START)
     assert not of(RestartQuery, sent(replica, START))
 
 
 def test_who_may_not_stand_asks_nobody():
     durable = DurableState(term=3, members=Members(VOTERS))
-    replica = Replica(RULES, Random(1), START, durable, True, START)
+    replica = Replica(CONFIG, Random(1), START, durable, True, START)
     replica.tick(START)
     assert not of(RestartQuery, sent(replica, START))
     learner = restarted(members=Members(("r1", "r2", "r3"), ("r0",)))
@@ -188,20 +201,34 @@
 
 
 def test_who_has_heard_a_leader_or_led_is_not_fresh():
-    query = RestartQuery(5)
+    query = RestartQuery(number=5)
     replica = restarted()
     replica.receive(START, "r1", query)
     ((_, reply),) = of(RestartReply, sent(replica, START))
     assert reply.fresh and reply.number == 5 and reply.incarnation == replica.incarnation
-    replica.receive(START, "r1", AppendEntries(3, 2, 3, 0, 1, 1, 0, 0, []))
+    replica.receive(
+        START,
+        "r1",
+        AppendEntries(
+            term=3,
+            prev_index=2,
+            prev_term=3,
+            commit=0,
+            round=1,
+            sent_at=1,
+            recover_incarnation=0,
+            recover_index=0,
+            entries=[],
+        ),
+    )
     replica.receive(START, "r1", query)
     ((_, reply),) = of(RestartReply, sent(replica, START))
     assert not reply.fresh
     leader = restarted()
-    leader.tick(OVER + RULES.election_most)
-    leader.receive(leader.now, "r1", RequestVoteReply(4, True, True))
+    leader.tick(OVER + CONFIG.max_election_timeout_ns)
+    leader.receive(leader.now, "r1", RequestVoteReply(term=4, granted=True, pre_vote=True))
     sent(leader, leader.now)
-    leader.receive(leader.now, "r1", RequestVoteReply(4, True, False))
+    leader.receive(leader.now, "r1", RequestVoteReply(term=4, granted=True, pre_vote=False))
     assert leader.is_leader
     sent(leader, leader.now)
     leader._become_follower(leader.term, None)
@@ -215,24 +242,24 @@
 )
 def test_who_has_a_shorter_log_than_another_leaves_it_to_that_one(other):
     asker = Asker()
-    asker.round(LIVES, **other)
-    asker.round(LIVES, **other)
+    asker.answer_all(INCARNATIONS, **other)
+    asker.answer_all(INCARNATIONS, **other)
     assert not asker.requests()
 
 
 def test_of_the_same_logs_one_stands():
     asker = Asker()
-    lives = LIVES | {"r2": HIGHEST}
-    asker.round(lives)
-    asker.round(lives)
+    incarnations = INCARNATIONS | {"r2": HIGHEST}
+    asker.answer_all(incarnations)
+    asker.answer_all(incarnations)
     assert not asker.requests()
 
 
 def test_who_may_not_stand_is_not_left_to():
     asker = Asker()
-    lives = LIVES | {"r2": HIGHEST}
-    asker.round(lives, able=False)
-    asker.round(lives, able=False)
+    incarnations = INCARNATIONS | {"r2": HIGHEST}
+    asker.answer_all(incarnations, may_stand=False)
+    asker.answer_all(incarnations, may_stand=False)
     assert asker.requests()
 
 
@@ -241,17 +268,31 @@
     joint = Members(("r0", "r1", "r2"), (), ("r0", "r1", "r9"))
     final = Members(("r0", "r1", "r2"))
     kind = int(EntryKind.MEMBERS)
-    entries = [Entry(3, 1, kind, joint.encode()), Entry(3, 2, kind, final.encode())]
+    entries = [
+        Entry(term=3, index=1, kind=kind, data=joint.encode()),
+        Entry(term=3, index=2, kind=kind, data=final.encode()),
+    ]
     asker = Asker(members=Members(("r0", "r1", "r9")), entries=entries)
     assert asker.queries().keys() == {"r1", "r2", "r9"}
-    asker.round(LIVES)
+    asker.answer_all(INCARNATIONS)
     assert not asker.queries() and not asker.requests()
 
 
-def grants(replica: Replica, life: int | None) -> bool:
-    replica.receive(START, "r1", RequestVote(4, LAST_INDEX, LAST_TERM, False, False, life))
+def grants(replica: Replica, incarnation: int | None) -> bool:
+    replica.receive(
+        START,
+        "r1",
+        RequestVote(
+            term=4,
+            last_index=LAST_INDEX,
+            last_term=LAST_TERM,
+            pre_vote=False,
+            transfer=False,
+            incarnation=incarnation,
+        ),
+    )
     replies = of(RequestVoteReply, sent(replica, START))
-    return any(reply.granted and not reply.pre for _, reply in replies)
+    return any(reply.granted and not reply.pre_vote for _, reply in replies)
 
 
 def test_a_voter_leaves_its_promise_aside_in_the_life_that_is_named_only():
@@ -263,17 +304,44 @@
 
 def test_a_voter_that_has_heard_a_leader_in_this_life_keeps_its_promise():
     replica = restarted()
-    replica.receive(START, "r2", AppendEntries(3, 2, 3, 0, 1, 1, 0, 0, []))
+    replica.receive(
+        START,
+        "r2",
+        AppendEntries(
+            term=3,
+            prev_index=2,
+            prev_term=3,
+            commit=0,
+            round=1,
+            sent_at=1,
+            recover_incarnation=0,
+            recover_index=0,
+            entries=[],
+        ),
+    )
     assert not grants(replica, replica.incarnation)
 
 
 def test_what_was_known_of_the_others_lives_is_forgotten_with_a_leader():
     asker = Asker()
-    asker.round(LIVES)
-    asker.round(LIVES)
-    asker.take("r1", AppendEntries(5, 2, 3, 0, 1, 1, 0, 0, []))
-    asker.take("r1", TimeoutNow(5))
-    assert asker.requests() and all(request.life is None for request in asker.requests().values())
+    asker.answer_all(INCARNATIONS)
+    asker.answer_all(INCARNATIONS)
+    asker.receive(
+        "r1",
+        AppendEntries(
+            term=5,
+            prev_index=2,
+            prev_term=3,
+            commit=0,
+            round=1,
+            sent_at=1,
+            recover_incarnation=0,
+            recover_index=0,
+            entries=[],
+        ),
+    )
+    asker.receive("r1", TimeoutNow(term=5))
+    assert asker.requests() and all(request.incarnation is None for request in asker.requests().values())
 
 
 @pytest.mark.parametrize("voters", [3, 5])
@@ -297,14 +365,14 @@
 class AsksAMajority(Replica):
     """Does not wait for all members."""
 
-    def _surveyed(self):
-        return super()._surveyed()[: len(self.voters) // 2]
+    def _members_to_query(self):
+        return super()._members_to_query()[: len(self.voters) // 2]
 
 
 class AlwaysFresh(Replica):
     """Does not note that it leads, or hears a leader."""
 
-    def _end_freshness(self):
+    def _record_leader_seen(self):
         pass
 
 
--- a/tests/test_replication_simulation.py
+++ b/tests/test_replication_simulation.py
@@ -16,7 +16,7 @@
     def _check_quorum(self):
         pass
 
-    def _hears_leader(self):
+    def _has_recent_leader(self):
         return False
 
 
@@ -45,14 +45,14 @@
         return progress.recovering
 
     def _end_recovering(self, leader, message):
-        if message.recover_incarnation == self.incarnation and not self._recovered_marked:
-            self.voted_for, self._recovered_marked = leader, True
+        if message.recover_incarnation == self.incarnation and not self._recovery_recorded:
+            self.voted_for, self._recovery_recorded = leader, True
             self._change_hard_state()
 
 
 class ForgetsVotes(Timeless):
     def _on_request_vote(self, candidate, message):
-        if message.term == self.term and not self.is_leader and not message.pre:
+        if message.term == self.term and not self.is_leader and not message.pre_vote:
             self.voted_for = None
         super()._on_request_vote(candidate, message)
 
@@ -63,7 +63,7 @@
 
 
 class VotesBesideLeader(Replica):
-    def _hears_leader(self):
+    def _has_recent_leader(self):
         return False
 
 
@@ -85,15 +85,15 @@
 
 
 class KeepsProgressOfLostDisk(Replica):
-    def _take_reply(self, peer, reply):
+    def _process_reply(self, peer, reply):
         progress = self._progress.get(peer)
         if progress and progress.incarnation != reply.incarnation:
             progress.incarnation = reply.incarnation
-        return super()._take_reply(peer, reply)
+        return super()._process_reply(peer, reply)
 
 
 class ForgetsPromiseAtStart(Replica):
-    def _promise_at_start(self, now):
+    def _leader_contact_at_start(self, now):
         return NEVER
 
 
@@ -265,7 +265,7 @@
     open_to_candidate = {wiped}
 
     def intercept(sender, receiver, message):
-        if sender == wiped and receiver == leader and simulation.nodes[wiped].life == 1:
+        if sender == wiped and receiver == leader and simulation.nodes[wiped].incarnation == 1:
             return True
         if sender == third and simulation.nodes[third].replica.voted_for == candidate:
             return receiver == leader
