--- a/tests/test_replication_storage.py
+++ b/tests/test_replication_storage.py
@@ -8,14 +8,14 @@
 
 import pytest
 
-from hopsail.replication import chunks, generation, storage
+from hopsail.replication import record_chunks, generation, storage
 from hopsail.replication.disk_thread import DiskThread
 from hopsail.replication.messages import Entry, EntryKind
-from hopsail.replication.records import PartWrite
+from hopsail.replication.records import ShardWrite
 from hopsail.replication.state import HardState, Members, Ready, Snapshot
 from hopsail.replication.storage import Storage, StorageError
 
-PARTS = ("p0", "p1")
+SHARDS = ("p0", "p1")
 MEMBERS = Members(("a", "b", "c"), ("d",))
 
 
@@ -33,19 +33,19 @@
 
 
 def entry(index, data=b"x", term=1):
-    return Entry(term, index, int(EntryKind.DATA), data)
+    return Entry(term=term, index=index, kind=int(EntryKind.DATA), data=data)
 
 
 def hard(term=1, voted_for="a"):
     return HardState(term, voted_for, True, MEMBERS)
 
 
-def write(store, part="p0", **fields):
-    store.write([PartWrite(part, Ready(serial=1, **fields))])
+def write(store, shard="p0", **fields):
+    store.write([ShardWrite(shard, Ready(serial=1, **fields))])
 
 
 def reopened(folder):
-    return Storage.open(str(folder), PARTS)
+    return Storage.open(str(folder), SHARDS)
 
 
 def files(folder):
@@ -144,7 +144,7 @@
     lines = path.read_bytes().splitlines(keepends=True)
     path.write_bytes(lines[0] + b"'0000x" + lines[1][6:] + lines[2] + lines[3])
     store = reopened(tmp_path)
-    assert store.corrupt == set(PARTS) and store.load("p0") is None
+    assert store.corrupt == set(SHARDS) and store.load("p0") is None
 
 
 def test_failed_sync_leaves_no_torn_record(tmp_path, monkeypatch):
@@ -190,7 +190,7 @@
 
 
 def test_compaction_bounds_the_disk(tmp_path, monkeypatch):
-    monkeypatch.setattr(storage, "MOST_GARBAGE", 20_000)
+    monkeypatch.setattr(storage, "MAX_GARBAGE_BYTES", 20_000)
     store = filled(tmp_path, 3)
     largest = 0
     for index in range(4, 200):
@@ -206,7 +206,7 @@
 
 
 def test_compaction_cut_short_at_any_step_keeps_everything(tmp_path, monkeypatch):
-    monkeypatch.setattr(storage, "MOST_RECORDS", 3)
+    monkeypatch.setattr(storage, "MAX_RECORDS", 3)
     filled(tmp_path, 5)
     kept = files(tmp_path)
     for failing in range(1, 12):
@@ -241,8 +241,8 @@
     now = [100]
     thread = DiskThread(reopened(tmp_path), clock=lambda: now[0])
     assert thread.oldest_age(150) == 0
-    thread.submit([PartWrite("p0", Ready(hard_state=hard(), entries_to_store=[entry(1)]))], "first")
-    thread.submit([PartWrite("p0", Ready(entries_to_store=[entry(3)]))], "gap")
+    thread.submit([ShardWrite("p0", Ready(hard_state=hard(), entries_to_store=[entry(1)]))], "first")
+    thread.submit([ShardWrite("p0", Ready(entries_to_store=[entry(3)]))], "gap")
     assert thread.oldest_age(150) == 50
     ended = []
     while len(ended) < 2:
@@ -272,7 +272,7 @@
 
 
 def test_compaction_that_fails_is_not_tried_at_every_write(tmp_path, monkeypatch):
-    monkeypatch.setattr(storage, "MOST_RECORDS", 3)
+    monkeypatch.setattr(storage, "MAX_RECORDS", 3)
     store = filled(tmp_path, 5)
     attempts = []
 
@@ -297,7 +297,7 @@
 
 
 def test_busy_disk_thread_compacts_before_garbage_fills_the_disk(tmp_path, monkeypatch):
-    monkeypatch.setattr(storage, "MOST_GARBAGE", 20_000)
+    monkeypatch.setattr(storage, "MAX_GARBAGE_BYTES", 20_000)
     thread = DiskThread(reopened(tmp_path))
     started, release, sizes = threading.Event(), threading.Event(), []
     real = Storage.write
@@ -311,7 +311,7 @@
     monkeypatch.setattr(Storage, "write", wait_first)
     for index in range(1, 301):
         state = Snapshot(index, 1, MEMBERS, b"s" * 1000)
-        thread.submit([PartWrite("p0", Ready(snapshot_to_store=state))], index)
+        thread.submit([ShardWrite("p0", Ready(snapshot_to_store=state))], index)
     assert started.wait(30)
     release.set()
     ended = []
@@ -325,7 +325,7 @@
 
 
 def test_rename_that_was_done_though_it_failed_loses_nothing(tmp_path, monkeypatch):
-    monkeypatch.setattr(storage, "MOST_RECORDS", 3)
+    monkeypatch.setattr(storage, "MAX_RECORDS", 3)
     store = filled(tmp_path, 5)
     real = os.rename
 
@@ -362,7 +362,7 @@
 
 @pytest.fixture
 def short_chunks(monkeypatch):
-    monkeypatch.setattr(chunks, "MOST_CHUNK", 1000)
+    monkeypatch.setattr(record_chunks, "MAX_CHUNK_BYTES", 1000)
 
 
 @pytest.mark.usefixtures("short_chunks")
@@ -379,11 +379,11 @@
 
 @pytest.mark.parametrize("length", [999, 1000, 1001, 2000, 2001])
 def test_what_is_cut_is_joined(monkeypatch, length):
-    monkeypatch.setattr(chunks, "MOST_CHUNK", 1000)
-    joiner, value = chunks.Joiner(), bytes(length)
-    records = list(chunks.cut(value))
+    monkeypatch.setattr(record_chunks, "MAX_CHUNK_BYTES", 1000)
+    joiner, value = record_chunks.Joiner(), bytes(length)
+    records = list(record_chunks.split(value))
     assert len(records) == -(-length // 1000)
-    assert [joiner.take(record) for record in records] == [None] * (len(records) - 1) + [value]
+    assert [joiner.add(record) for record in records] == [None] * (len(records) - 1) + [value]
     assert not joiner.is_between
 
 
@@ -424,7 +424,7 @@
 
 def test_chunks_without_an_end_before_other_records_make_all_corrupt(tmp_path, short_chunks):
     store = filled(tmp_path)
-    store._generation.append(list(chunks.cut(bytes(3000)))[:2])
+    store._generation.append(list(record_chunks.split(bytes(3000)))[:2])
     write(store, entries_to_store=[entry(4)])
     assert reopened(tmp_path).corrupt == {"p0", "p1"}
 
@@ -451,22 +451,22 @@
     """A disk that goes on is not one that stalls, also for what waits behind the long write."""
     store, now, ages = reopened(tmp_path), [0], []
     thread = DiskThread(store, clock=lambda: now[0])
-    note = store.has_progressed
+    note = store.on_progress
 
-    def has_progressed():
+    def on_progress():
         now[0] += 100
         ages.append(thread.oldest_age(now[0]))
         note()
 
-    store.has_progressed = has_progressed
-    thread.submit([PartWrite("p0", Ready(hard_state=hard(), snapshot_to_store=LONG))], "long")
-    thread.submit([PartWrite("p0", Ready(entries_to_store=[entry(10)]))], "behind")
+    store.on_progress = on_progress
+    thread.submit([ShardWrite("p0", Ready(hard_state=hard(), snapshot_to_store=LONG))], "long")
+    thread.submit([ShardWrite("p0", Ready(entries_to_store=[entry(10)]))], "behind")
     ended = []
     while len(ended) < 2:
         assert select.select([thread.descriptor], [], [], 30)[0]
         ended += thread.collect()
     assert ages == [100] * 7  # encoded, and six chunks
     assert [error for _, error in ended] == [None, None]
-    thread.submit([PartWrite("p0", Ready(entries_to_store=[entry(11)]))], "short")
+    thread.submit([ShardWrite("p0", Ready(entries_to_store=[entry(11)]))], "short")
     assert thread.oldest_age(now[0] + 500) == 500
     thread.close()
--- a/tests/test_storage_power.py
+++ b/tests/test_storage_power.py
@@ -6,19 +6,19 @@
 import pytest
 from power_model import PowerModel
 
-from hopsail.replication import chunks, storage
+from hopsail.replication import record_chunks, storage
 from hopsail.replication.messages import Entry, EntryKind
-from hopsail.replication.records import PartWrite
+from hopsail.replication.records import ShardWrite
 from hopsail.replication.state import HardState, Members, Ready, Snapshot
 from hopsail.replication.storage import Storage, StorageError
 
-SHARD_COUNT = ("p0", "p1")
+SHARDS = ("p0", "p1")
 MEMBERS = Members(("a", "b", "c"))
 
 
 def entries(first, last, term):
     return [
-        Entry(term, index, int(EntryKind.DATA), b"%d of %d" % (index, term))
+        Entry(term=term, index=index, kind=int(EntryKind.DATA), data=b"%d of %d" % (index, term))
         for index in range(first, last + 1)
     ]
 
@@ -60,9 +60,9 @@
 
 def shown(store):
     found = {}
-    for part in SHARD_COUNT:
-        state = store.load(part)
-        found[part] = state and (state.term, state.voted_for, state.recovered, state.snapshot, state.entries)
+    for shard in SHARDS:
+        state = store.load(shard)
+        found[shard] = state and (state.term, state.voted_for, state.recovered, state.snapshot, state.entries)
     return found
 
 
@@ -73,16 +73,16 @@
         path.unlink()
     for name, data in state.items():
         (copy / name).write_bytes(data)
-    store = Storage.open(str(copy), SHARD_COUNT)
+    store = Storage.open(str(copy), SHARDS)
     found = shown(store)
     store.close()
     assert not store.corrupt
     return found
 
 
-@pytest.mark.parametrize("most_chunk", [chunks.MOST_CHUNK, 700])
+@pytest.mark.parametrize("most_chunk", [record_chunks.MAX_CHUNK_BYTES, 700])
 def test_power_lost_at_every_write_leaves_the_old_state_or_the_new(tmp_path, monkeypatch, most_chunk):
-    monkeypatch.setattr(chunks, "MOST_CHUNK", most_chunk)
+    monkeypatch.setattr(record_chunks, "MAX_CHUNK_BYTES", most_chunk)
     folder, copy = tmp_path / "data", tmp_path / "copy"
     allowed = []
 
@@ -91,27 +91,27 @@
         assert found in allowed, (found, allowed)
 
     with monkeypatch.context() as patched:
-        store = Storage.open(str(folder), SHARD_COUNT)
+        store = Storage.open(str(folder), SHARDS)
         model = PowerModel(folder, patched, lost)
-        patched.setattr(storage, "MOST_RECORDS", 0)
+        patched.setattr(storage, "MAX_RECORDS", 0)
         allowed = [shown(store)]
         for step in STEPS:
             if step == "new generation":
                 assert store.compact_if_needed()
                 continue
-            part, ready = step
+            shard, ready = step
             before = shown(store)
-            allowed = [before, after(before, part, ready)]
-            store.write([PartWrite(part, ready)])
+            allowed = [before, after(before, shard, ready)]
+            store.write([ShardWrite(shard, ready)])
             allowed = [shown(store)]
-            assert allowed == [after(before, part, ready)]
+            assert allowed == [after(before, shard, ready)]
     assert model.points > 60 and model.states > 300
-    assert shown(Storage.open(str(folder), SHARD_COUNT)) == allowed[0]
+    assert shown(Storage.open(str(folder), SHARDS)) == allowed[0]
 
 
-def after(before, part, ready):
+def after(before, shard, ready):
     """The state that a write makes, told without the storage."""
-    term, voted_for, recovered, kept, log = before[part] or (0, None, False, None, [])
+    term, voted_for, recovered, kept, log = before[shard] or (0, None, False, None, [])
     if ready.hard_state:
         term, voted_for, recovered = ready.hard_state.term, ready.hard_state.voted_for, True
     if ready.truncate_from is not None:
@@ -119,7 +119,7 @@
     if ready.snapshot_to_store:
         kept = ready.snapshot_to_store
         log = [entry for entry in log if entry.index > kept.index]
-    return {**before, part: (term, voted_for, recovered, kept, log + ready.entries_to_store)}
+    return {**before, shard: (term, voted_for, recovered, kept, log + ready.entries_to_store)}
 
 
 def refuse(patched, first, calls):
@@ -138,13 +138,13 @@
     return made
 
 
-@pytest.mark.parametrize("most_chunk", [chunks.MOST_CHUNK, 700])
+@pytest.mark.parametrize("most_chunk", [record_chunks.MAX_CHUNK_BYTES, 700])
 @pytest.mark.parametrize("calls", [1, 4])
 def test_disk_full_in_compactions_and_then_power_lost(tmp_path, monkeypatch, calls, most_chunk):
     """From each call on (with chunks each seventh) the disk is full for a while; then power is lost later."""
-    monkeypatch.setattr(chunks, "MOST_CHUNK", most_chunk)
-    monkeypatch.setattr(storage, "MOST_RECORDS", 0)
-    monkeypatch.setattr(storage, "COMPACTIONS_SKIPPED", 0)
+    monkeypatch.setattr(record_chunks, "MAX_CHUNK_BYTES", most_chunk)
+    monkeypatch.setattr(storage, "MAX_RECORDS", 0)
+    monkeypatch.setattr(storage, "SKIPPED_COMPACTIONS", 0)
     first, made = 1, [None]
     while first <= len(made):
         folder, copy, allowed = tmp_path / f"data{first}", tmp_path / "copy", []
@@ -154,7 +154,7 @@
             assert found in allowed, (found, allowed)  # noqa: B023
 
         with monkeypatch.context() as patched:
-            store = Storage.open(str(folder), SHARD_COUNT)
+            store = Storage.open(str(folder), SHARDS)
             allowed = [shown(store)]
             PowerModel(folder, patched, lost)
             made = refuse(patched, first, calls)
@@ -167,7 +167,7 @@
                 allowed = [shown(store)]
         first += 7 if most_chunk == 700 else 1
         store.close()
-        assert shown(Storage.open(str(folder), SHARD_COUNT)) == allowed[0]
+        assert shown(Storage.open(str(folder), SHARDS)) == allowed[0]
 
 
 def done(store, step):
@@ -175,7 +175,7 @@
     try:
         if step == "new generation":
             return store.compact_if_needed()
-        store.write([PartWrite(*step)])
+        store.write([ShardWrite(*step)])
     except StorageError:
         return False
     return True
