--- a/hopsail/replication/messages.py
+++ b/hopsail/replication/messages.py
@@ -220,7 +220,7 @@
 
 
 class RestartReply(Struct):
-    """`fresh`: has neither led nor received anything of a leader in `incarnation`; `may_stand`: for election."""
+    """`fresh`: has neither led nor received from a leader in `incarnation`; `may_stand`: for election."""
 
     __slots__ = ("number", "incarnation", "fresh", "may_stand", "last_term", "last_index")
     thrift_spec = _fields(
