--- a/tests/simulation/invariants.py
+++ b/tests/simulation/invariants.py
@@ -158,8 +158,8 @@
 
     def sends(self, machine, shard, message) -> None:
         """A replica sends a message."""
-        stands = isinstance(message, RequestVote) and not message.pre
-        votes = isinstance(message, RequestVoteReply) and message.granted and not message.pre
+        stands = isinstance(message, RequestVote) and not message.pre_vote
+        votes = isinstance(message, RequestVoteReply) and message.granted and not message.pre_vote
         if not (stands or votes):
             return
         self.figures["votes"] += 1
