--- a/hopsail/commands.py
+++ b/hopsail/commands.py
@@ -16,8 +16,8 @@
 
 from .configuration.checker import check_configuration, parse_configuration
 from .configuration.codes import ConfigurationError, SettingsError
-from .configuration.needs import NEEDED, missing_settings
 from .configuration.process import parse_settings
+from .configuration.required_settings import REQUIRED_SETTINGS, missing_settings
 
 DISTRIBUTION = "hopsail"
 PROJECT_FILE = Path(__file__).resolve().parent.parent / "pyproject.toml"
@@ -86,7 +86,7 @@
         settings = parse_settings(content.decode())
     except SettingsError as error:
         return [error]
-    return missing_settings(NEEDED.get(program_package(), {}), settings)
+    return missing_settings(REQUIRED_SETTINGS.get(program_package(), {}), settings)
 
 
 def _check_configuration_file(content: bytes) -> list[ConfigurationError]:
--- a/hopsail/configuration/changes.py
+++ b/hopsail/configuration/changes.py
@@ -1,4 +1,4 @@
-"""What has changed between two configurations: the base of all incremental work. No I/O."""
+"""Difference of two configurations, which incremental updates are made of. No I/O."""
 
 from collections.abc import Mapping, Sequence
 from typing import Any, NamedTuple
@@ -10,24 +10,24 @@
     """Changes of one list of named items."""
 
     items: dict[str, Any | None]
-    """By name, those that are new or replaced, and None for those that are gone."""
+    """By name, those that are new or replaced, and None for those that are removed."""
     appended: frozenset[str]
     """Names of items that now stand at the end of the list, in the order of `items`."""
-    whole: Mapping[str, Any]
+    all_items: Mapping[str, Any]
     """All items of the list by name, in its order; not to be changed."""
 
 
 class ConfigurationChanges(NamedTuple):
-    """All that has changed in a configuration since its changes were last taken."""
+    """All that has changed in a configuration since its changes were last cleared."""
 
     fields: dict[str, Any]
-    """Values of all fields that are no lists of routes, services or tenants."""
+    """Values of all fields but the lists of routes, services and tenants."""
     lists: dict[str, ListChanges]
     """By field, such as `Routes`, for each list that is there, changed or not."""
 
 
 class TableChanges(NamedTuple):
-    """What a route table needs to know of a change; None stands for an item that is gone."""
+    """Changes of a route table; None stands for a removed item."""
 
     revision: int
     limits: Limits
@@ -38,13 +38,14 @@
 
 
 def table_changes(changes: ConfigurationChanges) -> TableChanges:
-    """The changes of a route table that come of those of the configuration."""
+    """Return the changes of a route table that follow from those of the configuration."""
     lists = changes.lists
+    limits: Limits = changes.fields.get("Limits") or Limits()
     services = lists.get("Services")
     return TableChanges(
         changes.fields["Revision"],
-        changes.fields.get("Limits") or {},
+        limits,
         lists["Routes"].items if "Routes" in lists else {},
         lists["Tenants"].items if "Tenants" in lists else {},
-        list(services.whole.values()) if services is not None and services.items else None,
+        list(services.all_items.values()) if services is not None and services.items else None,
     )
--- a/hopsail/configuration/checker.py
+++ b/hopsail/configuration/checker.py
@@ -1,49 +1,52 @@
-"""Reading and checking of configurations and patches.
+"""Parser and checks of configurations and patches. No I/O.
 
-Strict where the interface says what is invalid, lenient elsewhere. All passes are linear in the items.
+Strict where the interface says what is invalid, lenient elsewhere. All passes are linear in the items. The
+functions named `…_steps` are generators that yield between slices of a large input, so that the caller can
+do other work meanwhile.
 """
 
 import json
 from collections.abc import Container, Generator, Iterable, Iterator
 from itertools import chain
-from typing import Any, TypeVar
+from typing import Any, TypeGuard, TypeVar, cast
 
 from hopsail.configuration.codes import ConfigurationError, ResultCode
 from hopsail.configuration.fields import (
+    INTEGER,
     LIMITS_FIELDS,
     LIST,
     OBJECT,
-    WHOLE,
     Faults,
     Field,
+    JsonObject,
     field_faults,
     list_faults,
     text_faults,
 )
-from hopsail.configuration.plain import are_plain
+from hopsail.configuration.quick_check import have_flat_types
 from hopsail.configuration.types import Configuration, Patch, Route, Service, Tenant
 
 MAX_FAULTS = 100
 """Most faults that one error lists, itself included."""
 
 STEP_ITEMS = 2000
-"""Items that are looked at between two places at which a check may be interrupted."""
+"""Items that are checked between two points at which a check may be interrupted."""
 
 Steps = Iterator[ConfigurationError | None]
-"""The faults of something large: None stands for a place at which the check may be interrupted."""
+"""The faults of a large input: None stands for a point at which the check may be interrupted."""
 
 Result = TypeVar("Result")
 
 NAMED_LISTS = ("Routes", "Services", "Tenants")
 
 CONFIGURATION_FIELDS = (
-    Field("Revision", WHOLE, True),
+    Field("Revision", INTEGER, True),
     Field("Routes", LIST, True),
     Field("Services", LIST, True),
     Field("Limits", OBJECT),
     Field("Tenants", LIST),
 )
-PATCH_FIELDS = (Field("Revision", WHOLE, True), Field("Upsert", OBJECT), Field("Remove", OBJECT))
+PATCH_FIELDS = (Field("Revision", INTEGER, True), Field("Upsert", OBJECT), Field("Remove", OBJECT))
 UPSERT_FIELDS = (
     Field("Routes", LIST),
     Field("Services", LIST),
@@ -54,42 +57,50 @@
 
 
 def parse_configuration(body: bytes) -> Configuration:
-    """The configuration that a body holds; raises ConfigurationError if it can't be read in whole."""
-    return result_of(parsing_configuration(body))
+    """Return the configuration in a body.
+
+    Raises:
+        ConfigurationError: the body can't be parsed completely.
+    """
+    return run_steps(parse_configuration_steps(body))
 
 
-def parsing_configuration(body: bytes) -> Generator[None, None, Configuration]:
+def parse_configuration_steps(body: bytes) -> Generator[None, None, Configuration]:
     """`parse_configuration` in steps."""
     content = _parse_object(body)
-    yield from raising_first(_content_faults(content))
-    return content
+    yield from raise_first_steps(_content_faults(content))
+    return cast(Configuration, content)
 
 
 def parse_patch(body: bytes) -> Patch:
-    """The patch that a body holds; raises ConfigurationError if it can't be read in whole."""
-    return result_of(parsing_patch(body))
+    """Return the patch in a body.
+
+    Raises:
+        ConfigurationError: the body can't be parsed completely.
+    """
+    return run_steps(parse_patch_steps(body))
 
 
-def parsing_patch(body: bytes) -> Generator[None, None, Patch]:
+def parse_patch_steps(body: bytes) -> Generator[None, None, Patch]:
     """`parse_patch` in steps."""
     content = _parse_object(body)
-    yield from raising_first(_patch_faults(content))
-    return content
+    yield from raise_first_steps(_patch_faults(content))
+    return cast(Patch, content)
 
 
 def check_configuration(configuration: Configuration, current_revision: int) -> None:
     """Raise ConfigurationError if a parsed configuration is invalid as the successor of a revision."""
-    result_of(checking_configuration(configuration, current_revision))
+    run_steps(check_configuration_steps(configuration, current_revision))
 
 
-def checking_configuration(
+def check_configuration_steps(
     configuration: Configuration, current_revision: int
 ) -> Generator[None, None, None]:
     """`check_configuration` in steps."""
-    yield from raising_first(
+    yield from raise_first_steps(
         chain(
             revision_faults(configuration, current_revision),
-            _name_faults(configuration, ""),
+            _name_faults(cast(JsonObject, configuration), ""),
             route_list_faults(configuration["Routes"], _names_in(configuration["Services"])),
             shared_key_faults(configuration.get("Tenants") or ()),
         )
@@ -97,28 +108,30 @@
 
 
 def apply_patch(current: Configuration, patch: Patch) -> Configuration:
-    """A new configuration with a patch's changes; `current` stays as it is. Check it as a whole.
+    """Return a new configuration with a patch's changes, not checked; `current` stays as it is.
 
-    Replaced items keep their places and new ones come last; names to remove that are unknown are ignored.
+    Replaced items keep their positions and new ones come last; unknown names to remove are ignored.
     """
     changed: dict[str, Any] = dict(current)
-    for field, value in (patch.get("Upsert") or {}).items():
+    upsert: JsonObject = patch.get("Upsert") or {}
+    remove: JsonObject = patch.get("Remove") or {}
+    for field, value in upsert.items():
         if value is None:
             continue
         changed[field] = patched_field(changed.get(field), value)
-    for field, names in (patch.get("Remove") or {}).items():
+    for field, names in remove.items():
         if field in changed:
             changed[field] = without_names(changed[field], names)
     changed["Revision"] = patch["Revision"]
-    return changed
+    return cast(Configuration, changed)
 
 
 def raise_first(faults: Iterable[ConfigurationError | None]) -> None:
     """Raise the first of the faults, if there is any, with the others that follow."""
-    result_of(raising_first(faults))
+    run_steps(raise_first_steps(faults))
 
 
-def raising_first(faults: Iterable[ConfigurationError | None]) -> Generator[None, None, None]:
+def raise_first_steps(faults: Iterable[ConfigurationError | None]) -> Generator[None, None, None]:
     """`raise_first` in steps."""
     found: list[ConfigurationError] = []
     for fault in faults:
@@ -133,19 +146,20 @@
         raise ConfigurationError(first.code, first.item, found[1:])
 
 
-def result_of(steps: Generator[None, None, Result]) -> Result:
-    """What all steps together return."""
+def run_steps(steps: Generator[None, None, Result]) -> Result:
+    """Run all steps and return their result."""
     while True:
         try:
             next(steps)
         except StopIteration as end:
-            return end.value
+            result: Result = end.value
+            return result
 
 
-def _parse_object(body: bytes) -> Any:
+def _parse_object(body: bytes) -> dict[str, Any]:
     try:
         text = body.decode("utf-8-sig")
-        content = json.loads(text, parse_constant=_refuse_constant, parse_float=_finite)
+        content = json.loads(text, parse_constant=_reject_constant, parse_float=_finite)
     except (ValueError, RecursionError) as error:
         raise ConfigurationError(ResultCode.UNREADABLE, "body") from error
     if type(content) is not dict:
@@ -153,7 +167,7 @@
     return content
 
 
-def _refuse_constant(constant: str) -> float:
+def _reject_constant(constant: str) -> float:
     raise ValueError(f"{constant} is not JSON")
 
 
@@ -166,7 +180,7 @@
 
 def _content_faults(content: dict[str, Any]) -> Steps:
     yield from field_faults(content, CONFIGURATION_FIELDS, "")
-    yield from _holder_faults(content, "")
+    yield from _section_faults(content, "")
 
 
 def _patch_faults(content: dict[str, Any]) -> Steps:
@@ -174,7 +188,7 @@
     upsert = content.get("Upsert")
     if type(upsert) is dict:
         yield from field_faults(upsert, UPSERT_FIELDS, "Upsert.")
-        yield from _holder_faults(upsert, "Upsert.")
+        yield from _section_faults(upsert, "Upsert.")
         yield from _name_faults(upsert, "Upsert.")
     remove = content.get("Remove")
     if type(remove) is dict:
@@ -185,35 +199,35 @@
                 yield from text_faults(names, f"Remove.{field}")
 
 
-def _holder_faults(holder: dict[str, Any], prefix: str) -> Steps:
+def _section_faults(section: JsonObject, prefix: str) -> Steps:
     for field in NAMED_LISTS:
-        items = holder.get(field)
+        items = section.get(field)
         if type(items) is list:
             yield from _type_faults(field, items, prefix + field)
-    limits = holder.get("Limits")
+    limits = section.get("Limits")
     if type(limits) is dict:
         yield from field_faults(limits, LIMITS_FIELDS, prefix + "Limits.")
 
 
-def _type_faults(field: str, items: list, label: str) -> Steps:
+def _type_faults(field: str, items: list[Any], label: str) -> Steps:
     for first in range(0, len(items), STEP_ITEMS):
-        some = items[first : first + STEP_ITEMS]
-        if not are_plain(field, some):
-            yield from list_faults(field, some, label, first)
-        if len(some) == STEP_ITEMS:
+        step = items[first : first + STEP_ITEMS]
+        if not have_flat_types(field, step):
+            yield from list_faults(field, step, label, first)
+        if len(step) == STEP_ITEMS:
             yield None
 
 
 def revision_faults(configuration: Configuration | Patch, current_revision: int) -> Faults:
-    """The fault of a revision that is not above the current one."""
+    """Yield the fault of a revision that is not above the current one."""
     if configuration["Revision"] <= current_revision:
         yield ConfigurationError(ResultCode.REVISION_NOT_ABOVE, "Revision")
 
 
-def _name_faults(holder: Any, prefix: str) -> Steps:
-    """Faults of names that are not unique; items that aren't objects with a name have faults already."""
+def _name_faults(section: JsonObject, prefix: str) -> Steps:
+    """Yield the faults of names that are not unique; items without a name have other faults already."""
     for field in NAMED_LISTS:
-        items = holder.get(field)
+        items = section.get(field)
         if type(items) is not list:
             continue
         seen: set[str] = set()
@@ -229,30 +243,30 @@
 
 
 def route_list_faults(routes: Iterable[Route], services: Container[str]) -> Steps:
-    """Faults of routes in the order of their list, given the names of all services."""
-    places: set[tuple[str, str]] = set()
+    """Yield the faults of routes in the order of their list, given the names of all services."""
+    locations: set[tuple[str, str]] = set()
     for number, route in enumerate(routes, 1):
         if number % STEP_ITEMS == 0:
             yield None
         label = f"Routes[{route['Name']}]"
-        yield from _prefix_faults(route, label, places)
+        yield from _prefix_faults(route, label, locations)
         if route["DeadlineMs"] <= 0:
             yield ConfigurationError(ResultCode.BAD_DEADLINE, label + ".DeadlineMs")
         yield from _target_faults(route, label, services)
 
 
-def _prefix_faults(route: Route, label: str, places: set[tuple[str, str]]) -> Faults:
+def _prefix_faults(route: Route, label: str, locations: set[tuple[str, str]]) -> Faults:
     prefix = route["PathPrefix"]
     if not (prefix.startswith("/") and prefix.endswith("/")):
         yield ConfigurationError(ResultCode.BAD_PREFIX, label + ".PathPrefix")
-    place = place_of(route)
-    if place in places:
+    location = location_of(route)
+    if location in locations:
         yield ConfigurationError(ResultCode.DUPLICATE_ROUTE, label + ".PathPrefix")
-    places.add(place)
+    locations.add(location)
 
 
-def place_of(route: Route) -> tuple[str, str]:
-    """What no two routes may share: the host name in lower case, and the path prefix."""
+def location_of(route: Route) -> tuple[str, str]:
+    """Return the host name in lower case and the path prefix, which no two routes may share."""
     return route["Hostname"].lower(), route["PathPrefix"]
 
 
@@ -281,19 +295,19 @@
 
 
 def shared_key_faults(tenants: Iterable[Tenant]) -> Steps:
-    """Faults of keys that several tenants hold, for tenants in the order of their list."""
-    holders: dict[str, str] = {}
+    """Yield the faults of API keys of several tenants, for tenants in the order of their list."""
+    owners: dict[str, str] = {}
     for number, tenant in enumerate(tenants, 1):
         if number % STEP_ITEMS == 0:
             yield None
         name = tenant["Name"]
         for key in tenant["ApiKeys"]:
-            if holders.setdefault(key, name) != name:
+            if owners.setdefault(key, name) != name:
                 yield ConfigurationError(ResultCode.SHARED_KEY, f"Tenants[{name}].ApiKeys")
 
 
-def patched_field(current: Any, value: Any) -> Any:
-    """A field after `Upsert`: named items are merged into the list, everything else is replaced."""
+def patched_field(current: object, value: object) -> object:
+    """Return a field after `Upsert`: named items are merged into the list, everything else is replaced."""
     if not (_is_named_list(current) and _is_named_list(value)):
         return value
     merged = {item["Name"]: item for item in current}
@@ -302,17 +316,17 @@
     return list(merged.values())
 
 
-def _is_named_list(value: Any) -> bool:
+def _is_named_list(value: object) -> TypeGuard[list[dict[str, Any]]]:
     return type(value) is list and all(_name_of(item) is not None for item in value)
 
 
-def _name_of(item: Any) -> str | None:
+def _name_of(item: object) -> str | None:
     name = item.get("Name") if type(item) is dict else None
     return name if type(name) is str else None
 
 
-def without_names(value: Any, names: Any) -> Any:
-    """A field after `Remove`; what is no list stays as it is."""
+def without_names(value: object, names: object) -> object:
+    """Return a field after `Remove`; what is no list stays as it is."""
     if type(names) is not list or type(value) is not list:
         return value
     removed = {name for name in names if type(name) is str}
--- a/hopsail/configuration/codes.py
+++ b/hopsail/configuration/codes.py
@@ -3,6 +3,8 @@
 import enum
 from collections.abc import Sequence
 
+from hopsail.errors import HopsailError
+
 
 class ResultCode(enum.IntEnum):
     """A result with its number, its HTTP status (`None` where none applies) and its meaning."""
@@ -11,6 +13,7 @@
     meaning: str
 
     def __new__(cls, number: int, status: int | None, meaning: str) -> "ResultCode":
+        """Create a member whose value is its number."""
         code = int.__new__(cls, number)
         code._value_ = number
         code.status = status
@@ -69,13 +72,14 @@
     CONTROL_FORGOTTEN = 4012, 503, "it is not remembered any more whether so old a change was taken"
 
 
-class ConfigurationError(ValueError):
+class ConfigurationError(HopsailError, ValueError):
     """A fault of a configuration or patch: its code and the faulty item, such as `Routes[r-a].DeadlineMs`.
 
     `others` lists further faults of the same body, at most `checker.MAX_FAULTS` together with this one.
     """
 
     def __init__(self, code: ResultCode, item: str, others: Sequence["ConfigurationError"] = ()) -> None:
+        """Create the error of one faulty item."""
         super().__init__(f"{code.value} {item}: {code.meaning}")
         self.code = code
         self.item = item
@@ -87,10 +91,11 @@
         return self.code.status or 400
 
 
-class SettingsError(ValueError):
+class SettingsError(HopsailError, ValueError):
     """A fault of the settings file: its code and the faulty key, such as `Bounds.ContactMs`."""
 
     def __init__(self, code: ResultCode, key: str) -> None:
+        """Create the error of one faulty key."""
         super().__init__(f"{code.value} {key}: {code.meaning}")
         self.code = code
         self.key = key
--- a/hopsail/configuration/fields.py
+++ b/hopsail/configuration/fields.py
@@ -1,4 +1,4 @@
-"""Types of the fields of a configuration's items, and the check of one object against them."""
+"""Types of the fields of a configuration's items, and the check of one object against them. No I/O."""
 
 from collections.abc import Iterator, Mapping
 from typing import Any, NamedTuple
@@ -7,7 +7,7 @@
 
 TEXT = frozenset({str})
 NUMBER = frozenset({int, float})
-WHOLE = frozenset({int})
+INTEGER = frozenset({int})
 FLAG = frozenset({bool})
 LIST = frozenset({list})
 OBJECT = frozenset({dict})
@@ -73,14 +73,17 @@
 
 Faults = Iterator[ConfigurationError]
 
+JsonObject = Mapping[str, Any]
+"""An object as parsed from JSON, whose fields may have any type."""
 
-def field_faults(holder: Mapping[str, Any], fields: tuple[Field, ...], prefix: str) -> Faults:
-    """Faults of the known fields of one object; `prefix` stands before a field's name in the item.
+
+def field_faults(content: JsonObject, fields: tuple[Field, ...], prefix: str) -> Faults:
+    """Yield the faults of the known fields of one object; `prefix` stands before a field's name.
 
     An optional field that is null counts as missing.
     """
     for name, accepted, required in fields:
-        value = holder.get(name)
+        value = content.get(name)
         if type(value) in accepted:
             continue
         if value is not None:
@@ -89,14 +92,14 @@
             yield ConfigurationError(ResultCode.FIELD_MISSING, prefix + name)
 
 
-def item_label(field: str, index: int, item: Any) -> str:
-    """How a fault names an item of a list: by its name or, without one, by its index."""
+def item_label(field: str, index: int, item: object) -> str:
+    """Return how a fault names an item of a list: by its name or, without one, by its index."""
     name = item.get("Name") if type(item) is dict else None
     return f"{field}[{name if type(name) is str else index}]"
 
 
-def object_faults(values: list, fields: tuple[Field, ...], label: str) -> Faults:
-    """Faults of a list of objects without regard to names, such as the weights of a route."""
+def object_faults(values: list[Any], fields: tuple[Field, ...], label: str) -> Faults:
+    """Yield the faults of a list of objects without regard to names, such as the weights of a route."""
     for index, value in enumerate(values):
         if type(value) is dict:
             yield from field_faults(value, fields, f"{label}[{index}].")
@@ -104,23 +107,23 @@
             yield ConfigurationError(ResultCode.WRONG_TYPE, f"{label}[{index}]")
 
 
-def text_faults(values: list, label: str) -> Faults:
-    """Faults of a list that should hold text only."""
+def text_faults(values: list[Any], label: str) -> Faults:
+    """Yield the faults of a list that should contain text only."""
     for index, value in enumerate(values):
         if type(value) is not str:
             yield ConfigurationError(ResultCode.WRONG_TYPE, f"{label}[{index}]")
 
 
-def route_faults(route: Any, label: str) -> Faults:
-    """Faults of the types in one route."""
+def route_faults(route: JsonObject, label: str) -> Faults:
+    """Yield the faults of the types in one route."""
     yield from field_faults(route, ROUTE_FIELDS, label + ".")
     splits = route.get("TrafficSplit")
     if type(splits) is list:
         yield from object_faults(splits, SPLIT_FIELDS, label + ".TrafficSplit")
 
 
-def service_faults(service: Any, label: str) -> Faults:
-    """Faults of the types in one service."""
+def service_faults(service: JsonObject, label: str) -> Faults:
+    """Yield the faults of the types in one service."""
     yield from field_faults(service, SERVICE_FIELDS, label + ".")
     runtime = service.get("Runtime")
     if type(runtime) is not dict:
@@ -131,8 +134,8 @@
         yield from object_faults(models, MODEL_FIELDS, label + ".Runtime.Models")
 
 
-def tenant_faults(tenant: Any, label: str) -> Faults:
-    """Faults of the types in one tenant."""
+def tenant_faults(tenant: JsonObject, label: str) -> Faults:
+    """Yield the faults of the types in one tenant."""
     yield from field_faults(tenant, TENANT_FIELDS, label + ".")
     keys = tenant.get("ApiKeys")
     if type(keys) is list:
@@ -143,7 +146,7 @@
 """The check of one item, by the field whose list holds it."""
 
 
-def list_faults(field: str, items: list, label: str, first: int = 0) -> Faults:
+def list_faults(field: str, items: list[Any], label: str, first: int = 0) -> Faults:
     """Faults of the types in a list of named items; `label` stands for the list in the item's name.
 
     `first` is the index of the first item, where these are a part of a list."""
--- a/hopsail/configuration/items.py
+++ b/hopsail/configuration/items.py
@@ -1,4 +1,4 @@
-"""A configuration as keyed items, so that a change of one route costs one route.
+"""A configuration split into keyed items, so that a change of one route costs one route. No I/O.
 
 Each item is compact JSON. Those of lists are `[order, item]`: the list is their order by that number.
 """
@@ -7,7 +7,7 @@
 from collections.abc import Iterator, Mapping, Sequence
 from operator import itemgetter
 from types import MappingProxyType
-from typing import Any
+from typing import Any, cast
 
 from hopsail.configuration.changes import ConfigurationChanges, ListChanges
 from hopsail.configuration.types import Configuration
@@ -26,15 +26,16 @@
 
 
 class ItemSplitter:
-    """Splits one configuration after another; items that stay the same objects are not encoded again.
+    """Splits successive configurations; items that stay the same objects are not encoded again.
 
-    `items` are those of the configuration before the first one. Configurations passed in must not be changed.
+    Configurations passed in must not be changed.
     """
 
     def __init__(self, items: Mapping[str, bytes] | None = None) -> None:
+        """Create a splitter; `items` are those of the configuration before the first one."""
         self._items = dict(items or {})
         self._sources: dict[str, Any] = {}
-        self._last_orders: dict[str, int] = {}  # by kind, of those given out
+        self._last_orders: dict[str, int] = {}  # by kind, the highest assigned
 
     @property
     def items(self) -> Mapping[str, bytes]:
@@ -42,19 +43,20 @@
         return MappingProxyType(self._items)
 
     def changed_items(self, changes: ConfigurationChanges) -> dict[str, bytes | None]:
-        """The items that changes of the last configuration change, None for those that are gone.
+        """Return the items that changes of the last configuration change, None for removed ones.
 
-        Nothing is remembered until `fold` takes them; they are no more than `changes` names."""
+        The state stays as it is until `fold`. The items are no more than `changes` names.
+        """
         changed: dict[str, bytes | None] = {}
         for field, value in changes.fields.items():
             changed[_single_key(field)] = _encode(value).encode()
         for field, list_changes in changes.lists.items():
             changed |= self._changed_list(KIND_OF_FIELD[field], list_changes)
-            changed[_single_key(field)] = None if list_changes.whole else b"[]"
+            changed[_single_key(field)] = None if list_changes.all_items else b"[]"
         return {key: value for key, value in changed.items() if value != self._items.get(key)}
 
     def fold(self, changes: ConfigurationChanges, changed: Mapping[str, bytes | None]) -> None:
-        """Take in what `changed_items` has given for these changes."""
+        """Apply what `changed_items` returned for these changes."""
         for key, value in changed.items():
             if value is None:
                 self._items.pop(key, None)
@@ -66,19 +68,19 @@
             self._fold_list(KIND_OF_FIELD[field], list_changes)
 
     def split(self, configuration: Configuration) -> dict[str, bytes]:
-        """The items of a checked configuration; they keep their bytes when others come, go or move."""
-        for _ in self.split_in_slices(configuration, 1 << 30):
+        """Return the items of a checked configuration; they keep their bytes when others change or move."""
+        for _ in self.iter_split(configuration, 1 << 30):
             pass
         return dict(self._items)
 
-    def split_in_slices(self, configuration: Configuration, size: int) -> Iterator[None]:
-        """As `split`, with a pause after about so many items; `items` are the new ones at the end."""
+    def iter_split(self, configuration: Configuration, size: int) -> Iterator[None]:
+        """Split, yielding after about `size` items; `items` are the new ones at the end."""
         items: dict[str, bytes] = {}
         sources: dict[str, Any] = {}
         self._last_orders = {}
         for field, value in configuration.items():
             kind = KIND_OF_FIELD.get(field)
-            if kind is not None and value:
+            if kind is not None and isinstance(value, list) and value:
                 yield from self._split_list(kind, value, items, sources, size)
             else:
                 items[_single_key(field)] = _encode(value).encode()
@@ -98,7 +100,7 @@
         orders = _orders(known)
         if is_long:
             yield
-        for place, (key, value, known_order, order) in enumerate(
+        for position, (key, value, known_order, order) in enumerate(
             zip(keys, values, known, orders, strict=True), 1
         ):
             sources[key] = value
@@ -106,7 +108,7 @@
                 items[key] = self._items[key]
             else:
                 items[key] = f"[{order},{_encode(value)}]".encode()
-            if place % size == 0:
+            if position % size == 0:
                 yield
         self._last_orders[kind] = orders[-1]
 
@@ -132,10 +134,10 @@
                 self._last_orders[kind] = order
 
     def _last_order(self, kind: str, changes: ListChanges) -> int:
-        """The highest order number that was given out."""
+        """Return the highest order number that was assigned."""
         last = self._last_orders.get(kind)
         if last is None:
-            orders = [_order_in(value) for key, value in self._items.items() if key.startswith(kind + "/")]
+            orders = [_order_of(value) for key, value in self._items.items() if key.startswith(kind + "/")]
             last = self._last_orders[kind] = max(orders, default=-ORDER_STEP)
         return last
 
@@ -144,10 +146,11 @@
     """Joins items to configurations as they change; only items that changed are parsed."""
 
     def __init__(self) -> None:
+        """Create a joiner without items."""
         self._values: dict[str, Any] = {}
 
     def fold(self, changes: Mapping[str, bytes | None]) -> None:
-        """Take changed items in; None stands for an item that is gone."""
+        """Apply changed items; None stands for a removed one."""
         present = {key: value for key, value in changes.items() if value is not None}
         parsed = json.loads(b"[" + b",".join(present.values()) + b"]")
         self._values.update(zip(present, parsed, strict=True))
@@ -156,9 +159,9 @@
                 self._values.pop(key, None)
 
     def configuration(self) -> Configuration:
-        """The configuration that all items taken in make up; it shares its parts with later ones."""
+        """Return the configuration of all items; it shares its content with later ones."""
         content: dict[str, Any] = {}
-        lists: dict[str, list] = {}
+        lists: dict[str, list[Any]] = {}
         for key, value in self._values.items():
             kind, _, name = key.partition("/")
             if kind in FIELD_OF_KIND:
@@ -170,45 +173,48 @@
         for field, numbered in lists.items():
             numbered.sort(key=itemgetter(0))
             content[field] = [item for _, item in numbered]
-        return content
+        return cast(Configuration, content)
 
 
 def split_items(
     configuration: Configuration, previous: Mapping[str, bytes] | None = None
 ) -> dict[str, bytes]:
-    """The items of a checked configuration by key, such as `route/NAME` or `revision`.
+    """Return the items of a checked configuration by key, such as `route/NAME` or `revision`.
 
-    With the items of the `previous` one, unchanged items keep their bytes when others come, go or move.
+    With the items of the `previous` one, unchanged items keep their bytes when others change or move.
     """
     return ItemSplitter(previous).split(configuration)
 
 
 def join_items(items: Mapping[str, bytes]) -> Configuration:
-    """The configuration that was split into these items."""
+    """Return the configuration that was split into these items."""
     joiner = ItemJoiner()
     joiner.fold(items)
     return joiner.configuration()
 
 
 def canonical(configuration: Configuration) -> bytes:
-    """Bytes that are the same for the same configuration, whatever the order of fields and the spaces."""
+    """Return the same bytes for equal configurations, whatever the order of their fields."""
     return _encode_sorted(configuration).encode()
 
 
 def _single_key(field: str) -> str:
-    """The key of a field that is no list of items."""
+    """Return the key of a field that is no list of items."""
     return SINGLE_OF_FIELD.get(field, f"{EXTRA_KIND}/{field}")
 
 
 def _order_in(value: bytes | None) -> int | None:
-    """The order number in the bytes of a list's item."""
-    if value is None:
-        return None
+    """Return the order number of a list's item, None without an item."""
+    return None if value is None else _order_of(value)
+
+
+def _order_of(value: bytes) -> int:
+    """Return the order number in the bytes of a list's item."""
     return int(value[1 : value.index(b",")])
 
 
 def _orders(known: list[int | None]) -> list[int]:
-    """Rising order numbers for a list whose items had the `known` ones, kept wherever they still rise."""
+    """Return rising order numbers of a list; the `known` ones stay wherever they still rise."""
     following = _following_orders(known)
     orders: list[int] = []
     last = -ORDER_STEP
@@ -219,7 +225,7 @@
 
 
 def _following_orders(known: list[int | None]) -> list[int | None]:
-    """For each place, the known order number nearest after it."""
+    """Return, for each position, the nearest known order number after it."""
     following: list[int | None] = []
     nearest: int | None = None
     for order in reversed(known):
--- a/hopsail/configuration/plain.py
+++ b/hopsail/configuration/quick_check.py
@@ -1,4 +1,7 @@
-"""A quick check that passes lists whose items are plainly right; it says nothing about faults. Pure."""
+"""Quick type check that accepts lists without nested objects; others need the full check. No I/O.
+
+It is called for each item of a configuration, hence its loops are explicit and not generators.
+"""
 
 from collections.abc import Callable
 from types import NoneType
@@ -12,7 +15,7 @@
 
 
 def _accepted(fields: tuple[Field, ...]) -> Accepted:
-    """The types that each field of an item may have, that of a missing one among them."""
+    """Return the types that each field of an item may have, including that of a missing one."""
     return tuple(
         (name, accepted if required else accepted | NOT_NESTED) for name, accepted, required in fields
     )
@@ -27,40 +30,40 @@
 TENANT_TYPES = _accepted(TENANT_FIELDS)
 
 
-def are_plain(field: str, items: list) -> bool:
-    """Whether all items of a list have the right types and no nested objects; False proves nothing."""
-    return all(map(_IS_PLAIN[field], items))
+def have_flat_types(field: str, items: list[Any]) -> bool:
+    """Whether all items of a list have the right types and no nested objects; False is no fault yet."""
+    return all(map(_IS_FLAT[field], items))
 
 
-def _has_types(item: Any, types: Accepted) -> bool:
+def _has_types(item: object, types: Accepted) -> bool:
     if type(item) is not dict:
         return False
     get = item.get
-    for name, accepted in types:
+    for name, accepted in types:  # noqa: SIM110 - a generator is slower, see above
         if type(get(name)) not in accepted:
             return False
     return True
 
 
-def _is_plain_route(route: Any) -> bool:
+def _is_flat_route(route: object) -> bool:
     return _has_types(route, ROUTE_TYPES)
 
 
-def _is_plain_service(service: Any) -> bool:
+def _is_flat_service(service: object) -> bool:
     return _has_types(service, SERVICE_TYPES)
 
 
-def _is_plain_tenant(tenant: Any) -> bool:
-    if not _has_types(tenant, TENANT_TYPES):
+def _is_flat_tenant(tenant: object) -> bool:
+    if type(tenant) is not dict or not _has_types(tenant, TENANT_TYPES):
         return False
-    for key in tenant["ApiKeys"]:
+    for key in tenant["ApiKeys"]:  # noqa: SIM110 - as above
         if type(key) is not str:
             return False
     return True
 
 
-_IS_PLAIN: dict[str, Callable[[Any], bool]] = {
-    "Routes": _is_plain_route,
-    "Services": _is_plain_service,
-    "Tenants": _is_plain_tenant,
+_IS_FLAT: dict[str, Callable[[object], bool]] = {
+    "Routes": _is_flat_route,
+    "Services": _is_flat_service,
+    "Tenants": _is_flat_tenant,
 }
--- a/hopsail/configuration/followed.py
+++ b/hopsail/configuration/replicated_configuration.py
@@ -1,4 +1,4 @@
-"""The newest of the configurations that several feeds tell item by item. No I/O."""
+"""The newest of the configurations that several feeds replicate item by item. No I/O."""
 
 import json
 from collections.abc import Callable, Iterable, Mapping
@@ -7,23 +7,30 @@
 
 from hopsail.configuration.changes import TableChanges
 from hopsail.configuration.items import FIELD_OF_KIND, KIND_OF_FIELD
-from hopsail.configuration.types import Configuration, Service
+from hopsail.configuration.types import Configuration, Limits, Service
 from hopsail.configuration.view import RouteTable
+from hopsail.errors import HopsailError
 
 REVISION, LIMITS = "revision", "limits"
 SINGLE_KEYS = frozenset({REVISION, LIMITS})
 ROUTE, SERVICE, TENANT = (KIND_OF_FIELD[field] for field in ("Routes", "Services", "Tenants"))
-NOTHING: Configuration = {"Revision": -1, "Routes": [], "Services": []}
+EMPTY_CONFIGURATION: Configuration = {"Revision": -1, "Routes": [], "Services": []}
 
 
-class FollowedConfiguration:
+class ItemError(HopsailError, ValueError):
+    """A feed's item of a list has no order number."""
+
+
+class ReplicatedConfiguration:
     """One table for all feeds, and for each feed the keys in which it may differ from the table.
 
-    So a change costs its own items, whichever feed tells it first, and items are held parsed once. An older
-    configuration than that of the table is never taken; one of a higher revision is taken in whole or not
-    at all. Route and tenant items that differ in their order number alone are the same to a table."""
+    So a change costs its own items, whichever feed sends it first, and each item is parsed once. An older
+    configuration than that of the table is never applied; one of a higher revision is applied completely or
+    not at all. Route and tenant items that differ only in their order number are the same to a table.
+    """
 
     def __init__(self) -> None:
+        """Create a configuration without feeds and without a table."""
         self.table: RouteTable | None = None
         self._items: dict[str, bytes] = {}  # of the table
         self._services: dict[str, tuple[int, Service]] = {}  # of the table, with order numbers
@@ -35,9 +42,13 @@
         changes: Iterable[tuple[str, bytes | None]],
         value_of: Callable[[str], bytes | None],
     ) -> bool:
-        """Takes one batch of a feed, of which `value_of` tells the items with the batch in it.
+        """Apply one batch of a feed; `value_of` returns the feed's items after the batch.
+
+        Returns whether there is a new table.
 
-        Whether there is a new table; ValueError when the feed's configuration can't be read."""
+        Raises:
+            ValueError: the feed's configuration can't be parsed.
+        """
         differing = self._differing.get(source)
         if differing is None:
             differing = self._differing[source] = set(self._items)
@@ -51,7 +62,7 @@
         revision = value_of(REVISION)
         if revision is None or (self.table is not None and int(revision) <= self.table.revision):
             return False
-        self._take({key: value_of(key) for key in differing})
+        self._apply_items({key: value_of(key) for key in differing})
         for keys in self._differing.values():
             if keys is not differing:
                 keys |= differing
@@ -59,10 +70,10 @@
         return True
 
     def forget(self, source: str) -> None:
-        """A feed is not followed any more."""
+        """Drop the state of a feed."""
         self._differing.pop(source, None)
 
-    def _take(self, changes: Mapping[str, bytes | None]) -> None:
+    def _apply_items(self, changes: Mapping[str, bytes | None]) -> None:
         present = {key: value for key, value in changes.items() if value is not None}
         parsed = json.loads(b"[" + b",".join(present.values()) + b"]")
         values: dict[str, Any] = dict.fromkeys(changes)
@@ -72,19 +83,20 @@
             if key not in SINGLE_KEYS:
                 kind, _, name = key.partition("/")
                 by_kind[kind][name] = value
-        self._renew_table(values, by_kind)
+        self._replace_table(values, by_kind)
         self._items |= present
         for key in changes.keys() - present.keys():
             self._items.pop(key, None)
 
-    def _renew_table(self, values: Mapping[str, Any], by_kind: Mapping[str, Mapping[str, Any]]) -> None:
-        table = self.table or RouteTable(NOTHING)
+    def _replace_table(self, values: Mapping[str, Any], by_kind: Mapping[str, Mapping[str, Any]]) -> None:
+        table = self.table or RouteTable(EMPTY_CONFIGURATION)
         services = self._changed_services(by_kind[SERVICE])
+        limits: Limits = (values[LIMITS] or Limits()) if LIMITS in values else table.limits
         in_order = [service for _, service in sorted(services.values(), key=itemgetter(0))]
-        self.table = table.changed(
+        self.table = table.with_changes(
             TableChanges(
                 values[REVISION],
-                (values[LIMITS] or {}) if LIMITS in values else table.limits,
+                limits,
                 _without_order(by_kind[ROUTE]),
                 _without_order(by_kind[TENANT]),
                 in_order if by_kind[SERVICE] else None,
@@ -117,10 +129,10 @@
     return value.partition(b",")[2] == other.partition(b",")[2]
 
 
-def _numbered(value: Any) -> tuple[int, Any]:
-    """Order number and item of a list's item; ValueError when it is none."""
+def _numbered(value: object) -> tuple[int, Any]:
+    """Return order number and content of a list's item; raises ItemError when it has another form."""
     if type(value) is not list or len(value) != 2 or type(value[0]) is not int or type(value[1]) is not dict:
-        raise ValueError("not an item with its order number")
+        raise ItemError("not an item with its order number")
     return value[0], value[1]
 
 
--- a/hopsail/configuration/types.py
+++ b/hopsail/configuration/types.py
@@ -39,7 +39,7 @@
 
 
 class Runtime(TypedDict):
-    """What the hosts of a service are: batch size, memory in tokens, bytes a token, link in Mbit/s."""
+    """What the hosts of a service are: batch size, cache size in tokens, bytes a token, link in Mbit/s."""
 
     Capacity: NotRequired[float]
     CacheTokens: NotRequired[float]
@@ -51,7 +51,7 @@
 
 
 class Service(TypedDict):
-    """A group of hosts or, with `StoreAddr` (IP:PORT), a store of kept prompt parts."""
+    """A group of hosts or, with `StoreAddr` (IP:PORT), a store of cached prompt prefixes."""
 
     Name: str
     HealthPath: NotRequired[str]
@@ -76,7 +76,7 @@
 
 
 class Tenant(TypedDict):
-    """A customer and its keys; an `Isolated` one shares no kept part with any other."""
+    """A customer and its keys; an `Isolated` one shares no cached prefix with any other."""
 
     Name: str
     ApiKeys: list[str]
@@ -85,7 +85,7 @@
 
 
 class Configuration(TypedDict):
-    """The operator's whole configuration."""
+    """The operator's complete configuration."""
 
     Revision: int
     Routes: list[Route]
@@ -95,7 +95,7 @@
 
 
 class Upsert(TypedDict):
-    """Items to add, or to replace by `Name`; `Limits` is replaced in whole."""
+    """Items to add, or to replace by `Name`; `Limits` is replaced completely."""
 
     Routes: NotRequired[list[Route]]
     Services: NotRequired[list[Service]]
@@ -166,7 +166,7 @@
     Incarnation: int
     NextToken: int
     Missing: bool
-    EventLog: list[list]
+    EventLog: list[list]  # type: ignore[type-arg]  # as in the schema, which leaves the elements open
 
 
 class KvList(TypedDict):
@@ -174,7 +174,7 @@
 
     Incarnation: int
     NextToken: int
-    Retained: list[list]
+    Retained: list[list]  # type: ignore[type-arg]  # as in the schema, which leaves the elements open
 
 
 class Instance(TypedDict):
--- a/hopsail/configuration/view.py
+++ b/hopsail/configuration/view.py
@@ -1,4 +1,4 @@
-"""The configuration as the data plane looks it up on each request."""
+"""Route table: the configuration as the data plane looks it up on each request. No I/O."""
 
 from collections.abc import Iterable, Mapping, Sequence
 from copy import copy
@@ -6,18 +6,19 @@
 from typing import TypeVar
 
 from hopsail.configuration.changes import TableChanges
-from hopsail.configuration.sharded import ShardedMap
+from hopsail.configuration.sharded_map import ShardedMap
 from hopsail.configuration.types import Configuration, Limits, Route, Service, Tenant
 
 Value = TypeVar("Value")
 
 
 class RouteTable:
-    """Look-ups in one configuration; built in time linear in its items, and `changed` in that of a change.
+    """Look-ups in one configuration; built in time linear in its items, changed in that of the change.
 
     Tables are never changed in place: those that follow one on another share what stays the same."""
 
     def __init__(self, configuration: Configuration) -> None:
+        """Create the table of a checked configuration."""
         self.revision: int = configuration["Revision"]
         self.limits: Limits = configuration.get("Limits") or {}
         self._routes = {route["Name"]: route for route in configuration["Routes"]}
@@ -30,8 +31,8 @@
         self._tenants_by_key = ShardedMap(_tenants_by_key(tenants).items())
         self.needs_key: bool = bool(self._tenants)
 
-    def changed(self, changes: TableChanges) -> "RouteTable":
-        """The table after changes; this one stays as it is."""
+    def with_changes(self, changes: TableChanges) -> "RouteTable":
+        """Return the table after changes; this one stays as it is."""
         table = copy(self)
         table.revision, table.limits = changes.revision, changes.limits
         if changes.routes:
@@ -81,12 +82,12 @@
             if former is not None:
                 keys |= dict.fromkeys(former["ApiKeys"])
         keys |= _tenants_by_key(tenant for tenant in changes.values() if tenant is not None)
-        self._tenants_by_key = self._tenants_by_key.changed(keys)
-        self._tenants = self._tenants.changed(changes)
+        self._tenants_by_key = self._tenants_by_key.with_changes(keys)
+        self._tenants = self._tenants.with_changes(changes)
         self.needs_key = bool(self._tenants)
 
     def find(self, host: str, path: str) -> Route | None:
-        """The route of the longest prefix that begins the path, for a `Host` header and a request target."""
+        """Return the route of the longest matching prefix for a `Host` header and a request target."""
         routes = self._hosts.get(host)
         if routes is None:
             routes = self._hosts.get(host_name(host))
@@ -103,19 +104,19 @@
         return None
 
     def tenant(self, key: str) -> Tenant | None:
-        """The tenant that holds a key."""
+        """Return the tenant of an API key."""
         return self._tenants_by_key.get(key)
 
     def service(self, name: str) -> Service | None:
-        """The service of a name."""
+        """Return the service of a name."""
         return self._services.get(name)
 
     def services_of(self, route: Route) -> list[tuple[str, float]]:
-        """Names and weights, all above 0, of the services a route sends to; not to be changed."""
+        """Return names and weights, all above 0, of the services of a route; not to be changed."""
         return self._weights[route["Name"]]
 
     def store_for(self, zone: str | None = None) -> Service | None:
-        """A service that is a store, one in the zone if there is any."""
+        """Return a service that is a store, one in the zone if there is any."""
         for store in self.stores:
             if store.get("Zone") == zone:
                 return store
@@ -127,13 +128,13 @@
         return self._services.keys()
 
     def models_of(self, service: Service | str) -> tuple[str, ...]:
-        """Names of the models that the hosts of a service run, given the service or its name."""
+        """Return the names of the models that the hosts of a service run, given the service or its name."""
         name = service if isinstance(service, str) else service["Name"]
         return self._models.get(name, ())
 
 
 def host_name(host: str) -> str:
-    """A `Host` header in lower case and without its port."""
+    """Return a `Host` header in lower case and without its port."""
     name, _, port = host.rpartition(":")
     if name and not port.endswith("]"):
         return name.lower()
@@ -151,9 +152,9 @@
     return max((len(route["PathPrefix"]) for route in routes), default=0)
 
 
-def _with_changes(held: Mapping[str, Value], changes: Mapping[str, Value | None]) -> dict[str, Value]:
-    """A copy with changed values; None stands for one that is gone."""
-    changed = dict(held)
+def _with_changes(items: Mapping[str, Value], changes: Mapping[str, Value | None]) -> dict[str, Value]:
+    """Return a copy with changed values; None stands for a removed one."""
+    changed = dict(items)
     for name, value in changes.items():
         if value is None:
             changed.pop(name, None)
--- a/hopsail/controlplane/configuration_feed.py
+++ b/hopsail/controlplane/configuration_feed.py
@@ -54,7 +54,7 @@
             return
         if self._needs_whole or state.changes is None:
             self._needs_whole = True
-            state.changes_taken()
+            state.clear_changes()
             self._slices = self._feed_whole(state.configuration)
             self._feed_slice()
         else:
@@ -65,8 +65,8 @@
         items = self._splitter.changed_items(changes)
         self._feed(items.items())
         self._splitter.fold(changes, items)
-        state.changes_taken()
-        self._table = self._table.changed(table_changes(changes)._replace(routes={}, tenants={}))
+        state.clear_changes()
+        self._table = self._table.with_changes(table_changes(changes)._replace(routes={}, tenants={}))
         self._taken(self._table)
 
     def _feed_slice(self) -> None:
@@ -84,7 +84,7 @@
 
     def _feed_whole(self, configuration: Configuration) -> Generator[None, None, None]:
         splitter = ItemSplitter(self._splitter.items)
-        yield from splitter.split_in_slices(configuration, SLICE_ITEMS)
+        yield from splitter.iter_split(configuration, SLICE_ITEMS)
         items = yield from self._changed_items(splitter.items)
         if len(items) > SLICE_ITEMS:
             yield
--- a/hopsail/controlplane/configuration_state.py
+++ b/hopsail/controlplane/configuration_state.py
@@ -8,13 +8,13 @@
 
 from ..configuration.changes import ConfigurationChanges
 from ..configuration.checker import (
-    checking_configuration,
-    parsing_configuration,
-    parsing_patch,
-    result_of,
+    check_configuration_steps,
+    parse_configuration_steps,
+    parse_patch_steps,
+    run_steps,
 )
 from ..configuration.codes import ConfigurationError, ResultCode
-from ..configuration.indexed import ConfigurationIndex
+from ..configuration.configuration_index import ConfigurationIndex
 from ..configuration.types import Configuration, Patch
 from .commands import Command, CommandKind, Result
 from .compaction import json_encode_steps, json_decode_steps
@@ -61,17 +61,17 @@
 
     @property
     def changes(self) -> ConfigurationChanges | None:
-        """What has changed since `changes_taken`; None if all may have."""
+        """What has changed since `clear_changes`; None if all may have."""
         return self._index.changes if self._index is not None else None
 
-    def changes_taken(self) -> None:
+    def clear_changes(self) -> None:
         """The changes so far are known to whoever asks for them."""
         if self._index is not None:
-            self._index.changes_taken()
+            self._index.clear_changes()
 
     def judge(self, command: Command) -> Verdict:
         """What would come of the command now, and the configuration or patch that it would put in force."""
-        return result_of(self.judging(command))
+        return run_steps(self.judging(command))
 
     def judging(self, command: Command) -> Generator[None, None, Verdict]:
         """`judge` in steps, between which other work may be done; then `judge` costs little.
@@ -97,7 +97,7 @@
         try:
             if command.kind is CommandKind.PUT_CONFIGURATION:
                 content = yield from self._checked_configuration(command.body)
-                index = yield from ConfigurationIndex.building(content)
+                index = yield from ConfigurationIndex.build_steps(content)
             else:
                 content, index = (yield from self._checked_patch(command.body)), None
         except ConfigurationError as error:
@@ -107,16 +107,16 @@
         return Result(OK, value=content["Revision"]), content, index
 
     def _checked_configuration(self, body: bytes) -> Generator[None, None, Configuration]:
-        configuration = yield from parsing_configuration(body)
-        yield from checking_configuration(configuration, self.revision)
+        configuration = yield from parse_configuration_steps(body)
+        yield from check_configuration_steps(configuration, self.revision)
         if ESCAPED_SURROGATE.search(body):
             _check_text(configuration)
         return configuration
 
     def _checked_patch(self, body: bytes) -> Generator[None, None, Patch]:
-        patch = yield from parsing_patch(body)
+        patch = yield from parse_patch_steps(body)
         index = self._index or ConfigurationIndex(_empty())
-        yield from index.checking_patch(patch)
+        yield from index.check_patch_steps(patch)
         if ESCAPED_SURROGATE.search(body):
             _check_text(index.added_content(patch))
         return patch
@@ -156,7 +156,7 @@
     @classmethod
     def decode(cls, data: bytes) -> "ConfigurationState":
         """The state of a snapshot."""
-        return result_of(cls.decoding(data))
+        return run_steps(cls.decoding(data))
 
     @classmethod
     def decoding(cls, data: bytes) -> Generator[None, None, "ConfigurationState"]:
@@ -164,7 +164,7 @@
         state, tree = cls(), (yield from json_decode_steps(data))
         state.taken, state.forgotten = tree["taken"], tree["forgotten"]
         if tree["configuration"] is not None:
-            state._index = yield from ConfigurationIndex.building(tree["configuration"])
+            state._index = yield from ConfigurationIndex.build_steps(tree["configuration"])
         return state
 
 
--- a/hopsail/controlplane/plane.py
+++ b/hopsail/controlplane/plane.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from ..configuration.needs import CONTROL_PLANE_NEEDS
+from ..configuration.required_settings import CONTROL_PLANE_SETTINGS
 from ..configuration.process import ProcessSettings
 from ..configuration.view import RouteTable
 from ..event_log import get_logger
@@ -51,7 +51,7 @@
 class ControlPlane(Program, Decisions):
     """One control process."""
 
-    needed_settings = CONTROL_PLANE_NEEDS
+    needed_settings = CONTROL_PLANE_SETTINGS
 
     def __init__(self, settings: ProcessSettings):
         super().__init__(settings)
--- a/hopsail/dataplane/plane.py
+++ b/hopsail/dataplane/plane.py
@@ -4,7 +4,7 @@
 from functools import partial
 from random import Random
 
-from ..configuration.needs import DATA_PLANE_NEEDS
+from ..configuration.required_settings import DATA_PLANE_SETTINGS
 from ..configuration.process import ProcessSettings
 from ..event_log import get_logger
 from ..feed.confirmed import ConfirmedFeeds, contact_time
@@ -53,7 +53,7 @@
 class DataPlane(Program):
     """One balancer."""
 
-    needed_settings = DATA_PLANE_NEEDS
+    needed_settings = DATA_PLANE_SETTINGS
 
     def __init__(
         self,
--- a/hopsail/dataplane/view.py
+++ b/hopsail/dataplane/view.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Callable
 
-from ..configuration.followed import FollowedConfiguration
+from ..configuration.replicated_configuration import ReplicatedConfiguration
 from ..configuration.view import RouteTable
 from ..feed.store_status import StoreStatus, decode_store
 from ..feed.topics import Topic
@@ -30,7 +30,7 @@
     def __init__(self, apply_one_ns: int = RETENTION_NS):
         self.apply_one_ns = apply_one_ns  # in which a named version must be in force
         self.table: RouteTable | None = None
-        self.configuration = FollowedConfiguration()
+        self.configuration = ReplicatedConfiguration()
         self.instances: dict[str, Instance] = {}
         self.targets: dict[str, NamedRevisions] = {}  # by model
         self.told_instances: dict[str, bytes] = {}  # as last told, by whatever feed
--- a/hopsail/process.py
+++ b/hopsail/process.py
@@ -10,8 +10,8 @@
 
 from . import early, event_sink
 from .configuration.codes import ResultCode, SettingsError
-from .configuration.needs import missing_settings
 from .configuration.process import ProcessSettings, parse_settings
+from .configuration.required_settings import missing_settings
 from .errors import HopsailError
 from .event_log import get_logger
 from .membership.identity import Identity
--- a/tests/test_configuration_incremental.py
+++ b/tests/configuration/test_configuration_incremental.py
@@ -9,10 +9,10 @@
 from hopsail.configuration.changes import table_changes
 from hopsail.configuration.checker import apply_patch, check_configuration, parse_patch
 from hopsail.configuration.codes import ConfigurationError, ResultCode
-from hopsail.configuration.followed import FollowedConfiguration
-from hopsail.configuration.indexed import MOST_CHANGES, ConfigurationIndex
+from hopsail.configuration.configuration_index import MAX_CHANGES, ConfigurationIndex
 from hopsail.configuration.items import ItemJoiner, ItemSplitter, join_items, split_items
-from hopsail.configuration.sharded import ShardedMap
+from hopsail.configuration.replicated_configuration import ReplicatedConfiguration
+from hopsail.configuration.sharded_map import ShardedMap
 from hopsail.configuration.view import RouteTable
 from hopsail.controlplane.commands import Command, CommandKind, Result
 from hopsail.controlplane.configuration_state import ConfigurationState
@@ -275,7 +275,7 @@
     table = RouteTable(start)
     joiner.fold(splitter.split(start))
     assert index.changes is None
-    index.changes_taken()
+    index.clear_changes()
     for patch, after in accepted(seed, 150, start):
         index.apply_patch(patch)
         if draw.random() < 0.4:
@@ -286,8 +286,8 @@
         splitter.fold(changes, items)
         joiner.fold(items)
         older, shown_before = table, shown(table)
-        table = table.changed(table_changes(changes))
-        index.changes_taken()
+        table = table.with_changes(table_changes(changes))
+        index.clear_changes()
         assert join_items(splitter.items) == joiner.configuration() == after
         assert [item["Name"] for item in joiner.configuration()["Routes"]] == [
             item["Name"] for item in after["Routes"]
@@ -311,7 +311,7 @@
 def test_a_change_of_one_route_names_that_route_and_the_revision():
     index, splitter = ConfigurationIndex(large(300)), ItemSplitter()
     splitter.split(index.configuration)
-    index.changes_taken()
+    index.clear_changes()
     replaced = large(300)["Routes"][40] | {"DeadlineMs": 9}
     index.apply_patch({"Revision": 2, "Upsert": {"Routes": [replaced]}})
     assert splitter.changed_items(index.changes).keys() == {"route/r-40", "revision"}
@@ -319,10 +319,10 @@
 
 def test_a_table_shares_what_stays_the_same():
     index = ConfigurationIndex(large(20) | {"Tenants": [{"Name": "t", "ApiKeys": ["k"]}]})
-    index.changes_taken()
+    index.clear_changes()
     table = RouteTable(index.configuration)
     index.apply_patch({"Revision": 2, "Upsert": {"Tenants": [{"Name": "t-2", "ApiKeys": ["k-2"]}]}})
-    changed = table.changed(table_changes(index.changes))
+    changed = table.with_changes(table_changes(index.changes))
     assert changed.find("h", "/7/x") is table.find("h", "/7/x")
     assert changed.tenant("k") is table.tenant("k")
     assert (table.tenant("k-2"), changed.tenant("k-2")["Name"]) == (None, "t-2")
@@ -330,8 +330,8 @@
 
 def test_changes_that_nobody_takes_are_bounded():
     index = ConfigurationIndex(large(1))
-    index.changes_taken()
-    for start in range(0, MOST_CHANGES + 1000, 1000):
+    index.clear_changes()
+    for start in range(0, MAX_CHANGES + 1000, 1000):
         tenants = [{"Name": f"t-{start + number}", "ApiKeys": []} for number in range(1000)]
         names = [tenant["Name"] for tenant in tenants]
         index.apply_patch({"Revision": 2, "Upsert": {"Tenants": tenants}})
@@ -348,7 +348,7 @@
             f"k-{draw.randrange(60)}": draw.choice([None, step, step + 1]) for _ in range(draw.randrange(5))
         }
         before = {key: sharded.get(key) for key in map("k-{}".format, range(60))}
-        changed = sharded.changed(changes)
+        changed = sharded.with_changes(changes)
         assert before == {key: sharded.get(key) for key in before}
         plain = {key: value for key, value in (plain | changes).items() if value is not None}
         sharded = changed
@@ -382,7 +382,7 @@
 def test_the_newest_configuration_of_all_feeds_is_in_force(seed):
     draw = random.Random(seed)
     history = [after for _, after in accepted(seed, 150)]
-    followed = FollowedConfiguration()
+    followed = ReplicatedConfiguration()
     sources = [Source(f"c{number}", followed, draw) for number in range(3)]
     positions = [0, 0, 0]
     newest = 0
@@ -404,7 +404,7 @@
 
 
 def test_items_that_differ_in_their_numbers_alone_are_not_taken_again():
-    followed = FollowedConfiguration()
+    followed = ReplicatedConfiguration()
     first = split_items(large(50))
     followed.apply("c1", first.items(), first.get)
     renumbered = split_items(large(50), {"route/r-0": b"[77777,{}]"})
@@ -417,7 +417,7 @@
 
 @pytest.mark.parametrize("faulty", [b"no json", b"1,2", b"[1]", b"7,", b"7", b"[1,2]", b'["1",{}]'], ids=repr)
 def test_a_configuration_with_an_unreadable_item_is_not_taken_until_it_can_be_read(faulty):
-    followed = FollowedConfiguration()
+    followed = ReplicatedConfiguration()
     state = split_items(large(3))
     assert followed.apply("c1", state.items(), state.get)
     table = followed.table
@@ -435,7 +435,7 @@
 
 
 def test_a_feed_that_is_forgotten_leaves_nothing_behind():
-    followed = FollowedConfiguration()
+    followed = ReplicatedConfiguration()
     state = split_items(large(3))
     for number in range(5):
         followed.apply(f"c{number}", state.items(), state.get)
--- a/tests/golden/test_golden_configuration.py
+++ b/tests/golden/test_golden_configuration.py
@@ -12,11 +12,15 @@
 from hopsail.configuration.changes import table_changes
 from hopsail.configuration.checker import apply_patch, check_configuration, parse_configuration, parse_patch
 from hopsail.configuration.codes import ConfigurationError, ResultCode, SettingsError
-from hopsail.configuration.followed import FollowedConfiguration
-from hopsail.configuration.indexed import ConfigurationIndex
+from hopsail.configuration.configuration_index import ConfigurationIndex
 from hopsail.configuration.items import ItemJoiner, ItemSplitter, canonical, join_items, split_items
-from hopsail.configuration.needs import CONTROL_PLANE_NEEDS, DATA_PLANE_NEEDS, missing_settings
 from hopsail.configuration.process import parse_settings
+from hopsail.configuration.replicated_configuration import ReplicatedConfiguration
+from hopsail.configuration.required_settings import (
+    CONTROL_PLANE_SETTINGS,
+    DATA_PLANE_SETTINGS,
+    missing_settings,
+)
 from hopsail.configuration.view import RouteTable
 from paths import DATA
 
@@ -229,7 +233,7 @@
         return [int(error.code), error.key, str(error)]
     missing = [
         [int(error.code), error.key]
-        for needs in (DATA_PLANE_NEEDS, CONTROL_PLANE_NEEDS)
+        for needs in (DATA_PLANE_SETTINGS, CONTROL_PLANE_SETTINGS)
         for error in missing_settings(needs, settings)
     ]
     return json.loads(json.dumps([plain_settings(settings), missing]))
@@ -303,8 +307,8 @@
     index, splitter, joiner = ConfigurationIndex(current), ItemSplitter(), ItemJoiner()
     splitter.split(current)
     joiner.fold(splitter.items)
-    index.changes_taken()
-    followed, told = FollowedConfiguration(), {"a": {}, "b": {}}
+    index.clear_changes()
+    followed, told = ReplicatedConfiguration(), {"a": {}, "b": {}}
     for _ in range(400):
         patch = drawn_patch(draw, current["Revision"])
         faults = faults_of(lambda patch=patch: index.check_patch(patch))
@@ -316,7 +320,7 @@
         changes = index.changes
         changed_items = splitter.changed_items(changes)
         splitter.fold(changes, changed_items)
-        index.changes_taken()
+        index.clear_changes()
         joiner.fold(changed_items)
         for key in sorted(changed_items):
             digest.update(key.encode() + b"=" + (changed_items[key] or b"-"))
--- a/tests/simulation/mutations.py
+++ b/tests/simulation/mutations.py
@@ -4,7 +4,7 @@
 from contextlib import contextmanager
 from typing import Any, NamedTuple
 
-from hopsail.configuration.followed import REVISION, FollowedConfiguration
+from hopsail.configuration.replicated_configuration import REVISION, ReplicatedConfiguration
 from hopsail.configuration.items import canonical
 from hopsail.controlplane.forwarding import Submission
 from hopsail.controlplane.commands import CommandKind, Result
@@ -362,7 +362,7 @@
     ),
     Mutation(
         "takes older configurations",
-        FollowedConfiguration,
+        ReplicatedConfiguration,
         "apply",
         _takes_older_configurations,
         Invariant.NEVER_BACK,
--- a/tests/test_controlplane_configuration_feed.py
+++ b/tests/test_controlplane_configuration_feed.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from hopsail.configuration.followed import FollowedConfiguration
+from hopsail.configuration.replicated_configuration import ReplicatedConfiguration
 from hopsail.configuration.items import join_items
 from hopsail.controlplane import configuration_feed as feed_module
 from hopsail.controlplane.commands import Command, CommandKind
@@ -41,7 +41,7 @@
         self.journal = Journal(1, most_entries)
         self.later, self.taken = [], []
         self.feed = ConfigurationFeed(self.journal, self._after, lambda: self.state, self._taken)
-        self.followed, self.position, self.held = FollowedConfiguration(), 0, {}
+        self.followed, self.position, self.held = ReplicatedConfiguration(), 0, {}
 
     def _after(self, milliseconds, callback):
         assert milliseconds > 0
--- a/tests/test_controlplane_steps.py
+++ b/tests/test_controlplane_steps.py
@@ -19,7 +19,7 @@
 )
 
 from hopsail.configuration.checker import STEP_ITEMS
-from hopsail.configuration.indexed import ConfigurationIndex
+from hopsail.configuration.configuration_index import ConfigurationIndex
 from hopsail.controlplane import decisions
 from hopsail.controlplane.configuration_state import MIN_LARGE_BODY_BYTES, ConfigurationState
 from hopsail.controlplane.shard import UNREADABLE_COMMAND, Shard
@@ -296,7 +296,7 @@
 
 
 def test_an_index_is_built_in_steps_and_is_the_same():
-    pauses, built = taken_to_end(ConfigurationIndex.building(large(3)))
+    pauses, built = taken_to_end(ConfigurationIndex.build_steps(large(3)))
     assert pauses >= TENANTS // STEP_ITEMS
     assert vars(built) == vars(ConfigurationIndex(large(3)))
 
--- a/tests/test_process.py
+++ b/tests/test_process.py
@@ -6,8 +6,12 @@
 import pytest
 
 from hopsail import process
-from hopsail.configuration.needs import CONTROL_PLANE_NEEDS, DATA_PLANE_NEEDS, missing_settings
 from hopsail.configuration.process import parse_settings
+from hopsail.configuration.required_settings import (
+    CONTROL_PLANE_SETTINGS,
+    DATA_PLANE_SETTINGS,
+    missing_settings,
+)
 from hopsail.event_sink import PicologgingSink
 from hopsail.net import log
 
@@ -18,7 +22,7 @@
 class Running(process.Program):
     """A program that notes which settings it was given."""
 
-    needed_settings = DATA_PLANE_NEEDS
+    needed_settings = DATA_PLANE_SETTINGS
 
     def __init__(self, settings):
         super().__init__(settings)
@@ -97,7 +101,7 @@
     assert running.taken == []
 
 
-@pytest.mark.parametrize("needed", [DATA_PLANE_NEEDS, CONTROL_PLANE_NEEDS])
+@pytest.mark.parametrize("needed", [DATA_PLANE_SETTINGS, CONTROL_PLANE_SETTINGS])
 def test_each_missing_key_is_named(needed):
     faults = missing_settings(needed, parse_settings(TEXT))
     assert [fault.key for fault in faults] == list(needed.values())
