--- a/hopsail/swim/failure_detector.py
+++ b/hopsail/swim/failure_detector.py
@@ -121,14 +121,14 @@
         context, members = self._context, self._context.members
         probe.is_indirect = True
         probe.deadline_ns = probe.started_ns + context.settings.period_ns * context.health.factor
-        helpers = [
+        candidates = [
             member
             for member in members.by_name.values()
             if member.status is MemberStatus.ALIVE and member not in (members.own, probe.member)
         ]
         request = PingRequest(probe.number, probe.member.address)
-        for helper in context.random.sample(helpers, min(INDIRECT_PROBES, len(helpers))):
-            context.outbox.send(helper.address, request)
+        for relay in context.random.sample(candidates, min(INDIRECT_PROBES, len(candidates))):
+            context.outbox.send(relay.address, request)
         context.outbox.ping(probe.member.address, [probe.member], probe.number)
 
     def _expire_relayed(self, now: int) -> None:
--- a/hopsail/swim/faults.py
+++ b/hopsail/swim/faults.py
@@ -165,7 +165,7 @@
     def observe(self) -> Mapping[str, ViewSnapshot]:
         """What all show now; what may at no time be seen is noted."""
         views, now = self._fleet.snapshots(), self._fleet.now()
-        self._note_unreachable(views, now)
+        self._record_unreachable(views, now)
         for observer, view in views.items():
             self._check_incarnations(observer, view)
             self.false_gone += sum(
@@ -173,7 +173,7 @@
             )
         return views
 
-    def _note_unreachable(self, observers: Iterable[str], now: float) -> None:
+    def _record_unreachable(self, observers: Iterable[str], now: float) -> None:
         for one in observers:
             for other in self._fleet.names:
                 both_ways = self._fleet.can_reach(one, other) and self._fleet.can_reach(other, one)
--- a/hopsail/swim/heartbeat.py
+++ b/hopsail/swim/heartbeat.py
@@ -43,8 +43,8 @@
             if member is self.members.own:
                 continue
             self.outbox.ping(member.address, number=number)
-            silence_ns = now - self._received_ns.setdefault(member.name, now)
-            if member.is_live and silence_ns > TIMEOUT_PERIODS * self.settings.period_ns:
+            elapsed_ns = now - self._received_ns.setdefault(member.name, now)
+            if member.is_live and elapsed_ns > TIMEOUT_PERIODS * self.settings.period_ns:
                 self.view.set_status(member, MemberStatus.DEAD, now)
         if len(self.members.by_name) == 1:
             for address in self.settings.seeds:
--- a/hopsail/swim/members.py
+++ b/hopsail/swim/members.py
@@ -86,7 +86,7 @@
         """The number of live members, this one among them."""
         return sum(member.is_live for member in self.by_name.values())
 
-    def mark_changed(self, now: int) -> None:
+    def record_change(self, now: int) -> None:
         """Notes that the view is another one now."""
         self.version += 1
         self.changed_at_ns = now
--- a/hopsail/swim/outbox.py
+++ b/hopsail/swim/outbox.py
@@ -65,15 +65,15 @@
         `required` are members whose updates must be in it. `max_bytes` is the size of the request that is
         answered: a longer answer is not sent, as the address of the request may be forged.
         """
-        told = self._select(payload, required)
-        updates = [member.to_update(self._suspected_by(member)) for member in told]
+        included = self._select(payload, required)
+        updates = [member.to_update(self._suspected_by(member)) for member in included]
         self._sequence += 1
         own = self._members.own.to_update()
         data, count = self.codec.encode(own, self._sequence, payload, updates, max_bytes)
         if max_bytes is not None and len(data) > max_bytes:
             self._counts["unanswered"] += 1
             return
-        self._updates.record_sent(told[:count], max_transmissions(self._members.live_count()))
+        self._updates.record_sent(included[:count], max_transmissions(self._members.live_count()))
         self.datagrams.append(OutgoingDatagram(address, data))
 
     def _select(self, payload: Payload, required: Sequence[Member]) -> list[Member]:
--- a/hopsail/swim/view.py
+++ b/hopsail/swim/view.py
@@ -108,7 +108,7 @@
         """Has others told of a member."""
         self._context.updates.enqueue(member)
         if view_changed:
-            self._members.mark_changed(now)
+            self._members.record_change(now)
 
     def _apply_to_own(self, update: MemberUpdate, now: int) -> None:
         own = self._members.own
--- a/tests/membership/test_membership_node.py
+++ b/tests/membership/test_membership_node.py
@@ -1,4 +1,4 @@
-"""Membership of the whole system: names on the wire, counts, lives from a clock that steps, and its cost."""
+"""Membership of the fleet: names on the wire, counts, incarnations when a clock steps, and its cost."""
 
 import subprocess
 import sys
@@ -8,7 +8,7 @@
 from membership_world import World
 
 from hopsail.membership import Membership, node
-from hopsail.membership.identity import HASH_MARK, Identity, decode, encode
+from hopsail.membership.identity import HASH_PREFIX, Identity, decode, encode
 from hopsail.net import udp
 from hopsail.swim.settings import MAX_NAME_BYTES, MS, SECOND
 from hopsail.swim.simulation import SimulatedFleet
@@ -72,7 +72,7 @@
         assert 0 < len(name.encode()) <= MAX_NAME_BYTES
         assert seen.setdefault(name, identity) == identity
         assert all(
-            got == given or got.startswith(HASH_MARK)
+            got == given or got.startswith(HASH_PREFIX)
             for got, given in zip(decode(name), identity, strict=True)
         )
 
@@ -85,7 +85,7 @@
 def test_a_long_zone_is_hashed_and_read_by_those_who_know_its_name():
     zone = "a-very-long-zone-name-indeed-and-more"
     name = encode(Identity("dataplane", zone, "n1"))
-    assert decode(name).zone.startswith(HASH_MARK)
+    assert decode(name).zone.startswith(HASH_PREFIX)
     assert decode(name, ["other", zone]) == Identity("dataplane", zone, "n1")
 
 
--- a/tests/swim/test_swim_faults.py
+++ b/tests/swim/test_swim_faults.py
@@ -204,7 +204,7 @@
         "member.status is MemberStatus.SUSPECT and now >= member.suspicion_deadline_ns",
         "member.status is MemberStatus.SUSPECT",
     ),
-    "nobody probes indirectly": ("failure_detector", "min(INDIRECT_PROBES, len(helpers))", "0"),
+    "nobody probes indirectly": ("failure_detector", "min(INDIRECT_PROBES, len(candidates))", "0"),
     "a stall is not noticed": (
         "protocol",
         "if late_ns > STALL_PERIODS * self.settings.period_ns:",
@@ -244,7 +244,7 @@
     "those thought dead are not pinged soon": ("context", "if may_return and", "if False and"),
     "nothing is passed on": ("dissemination", "return RETRANSMIT_FACTOR *", "return 0 *"),
     "updates are passed on for ever": ("dissemination", "if member.transmissions >= limit:", "if False:"),
-    "a helper does not pass acknowledgements on": (
+    "a relay does not pass acknowledgements on": (
         "failure_detector",
         "if (relayed := self._relayed.pop(number, None)) is not None:",
         "if False:",
