--- a/hopsail/configuration/fields.py
+++ b/hopsail/configuration/fields.py
@@ -143,7 +143,7 @@
 
 
 ITEM_FAULTS = {"Routes": route_faults, "Services": service_faults, "Tenants": tenant_faults}
-"""The check of one item, by the field whose list holds it."""
+"""The check of one item, by the field of its list."""
 
 
 def list_faults(field: str, items: list[Any], label: str, first: int = 0) -> Faults:
--- a/hopsail/configuration/replicated_configuration.py
+++ b/hopsail/configuration/replicated_configuration.py
@@ -7,8 +7,8 @@
 
 from hopsail.configuration.changes import TableChanges
 from hopsail.configuration.items import FIELD_OF_KIND, KIND_OF_FIELD
+from hopsail.configuration.route_table import RouteTable
 from hopsail.configuration.types import Configuration, Limits, Service
-from hopsail.configuration.view import RouteTable
 from hopsail.errors import HopsailError
 
 REVISION, LIMITS = "revision", "limits"
--- a/hopsail/configuration/view.py
+++ b/hopsail/configuration/route_table.py
@@ -15,7 +15,8 @@
 class RouteTable:
     """Look-ups in one configuration; built in time linear in its items, changed in that of the change.
 
-    Tables are never changed in place: those that follow one on another share what stays the same."""
+    A table is immutable: successive tables share what stays the same.
+    """
 
     def __init__(self, configuration: Configuration) -> None:
         """Create the table of a checked configuration."""
--- a/hopsail/configuration/types.py
+++ b/hopsail/configuration/types.py
@@ -1,6 +1,6 @@
-"""Messages of the interfaces as they travel in JSON; `openapi.json` holds the same fields as schemas.
+"""Messages of the interfaces in JSON; `openapi.json` has the same fields as schemas.
 
-Fields not named here are kept and ignored. Fields ending in `Ms` are in milliseconds.
+Fields not named here are stored and ignored. Fields ending in `Ms` are in milliseconds.
 """
 
 from typing import NotRequired, TypedDict
--- a/hopsail/controlplane/configuration_feed.py
+++ b/hopsail/controlplane/configuration_feed.py
@@ -9,7 +9,7 @@
 from ..configuration.changes import table_changes
 from ..configuration.items import SINGLE_OF_FIELD, ItemSplitter
 from ..configuration.types import Configuration
-from ..configuration.view import RouteTable
+from ..configuration.route_table import RouteTable
 from ..feed.journal import Journal
 from ..feed.topics import Topic
 from .configuration_state import ConfigurationState
--- a/hopsail/controlplane/plane.py
+++ b/hopsail/controlplane/plane.py
@@ -4,7 +4,7 @@
 
 from ..configuration.required_settings import CONTROL_PLANE_SETTINGS
 from ..configuration.process import ProcessSettings
-from ..configuration.view import RouteTable
+from ..configuration.route_table import RouteTable
 from ..event_log import get_logger
 from ..feed.journal import Change, Journal
 from ..feed.messages import POLL, PollRequest
--- a/hopsail/dataplane/view.py
+++ b/hopsail/dataplane/view.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 
 from ..configuration.replicated_configuration import ReplicatedConfiguration
-from ..configuration.view import RouteTable
+from ..configuration.route_table import RouteTable
 from ..feed.store_status import StoreStatus, decode_store
 from ..feed.topics import Topic
 from ..hosts.instance import Instance, Phase, decode, merge
--- a/hopsail/hosts/instance.py
+++ b/hopsail/hosts/instance.py
@@ -29,7 +29,7 @@
 
 
 class ModelRevision(NamedTuple):
-    """Revision of the weights that a host holds for one model."""
+    """Revision of the weights that a host has loaded for one model."""
 
     name: str
     revision: int
--- a/hopsail/hosts/listing.py
+++ b/hopsail/hosts/listing.py
@@ -114,14 +114,14 @@
     except (ValueError, RecursionError) as error:
         raise InstanceError("a page is not JSON") from error
     if not isinstance(page, dict) or not isinstance(page.get("Instances"), list):
-        raise InstanceError("a page holds no list of instances")
+        raise InstanceError("a page has no list of instances")
     instances = [parse_instance(entry) for entry in page["Instances"]]
     return _Page(instances, _next_token(page))
 
 
 def _next_token(page: dict[str, Any]) -> str | None:
     if "NextToken" not in page:
-        raise InstanceError("a page holds no NextToken")
+        raise InstanceError("a page has no NextToken")
     token = page["NextToken"]
     if token is None:
         return None
--- a/hopsail/hosts/polling.py
+++ b/hopsail/hosts/polling.py
@@ -26,7 +26,7 @@
 
 
 class ListingSchedule:
-    """Decides when the next listing is due, given what the `record_…` methods are told of earlier ones."""
+    """Decides when the next listing is due; the `record_…` methods report the results of earlier ones."""
 
     def __init__(self, processes: int, rng: random.Random, rules: ListingRules | None = None) -> None:
         """Create the schedule of one of `processes` processes; `rng` draws its jitter."""
--- a/hopsail/weights/load.py
+++ b/hopsail/weights/load.py
@@ -14,7 +14,7 @@
 class LoadPhase(IntEnum):
     """How far the load of new weights is at one host.
 
-    IDLE: none is under way. PREPARING: an order follows, send nothing new. LOADING: an order was taken.
+    IDLE: none is in progress. PREPARING: an order follows, send nothing new. LOADING: an order was accepted.
     DONE: the host has loaded the revision.
     """
 
@@ -57,7 +57,7 @@
     except (ValueError, TypeError, RecursionError) as error:
         raise HostLoadError("not an announcement") from error
     if any(type(number) is not int for number in (phase, revision, fencing_token, serial)):
-        raise HostLoadError("an announcement holds something other than integers")
+        raise HostLoadError("an announcement has something other than integers")
     return HostLoad(known_phase, revision, fencing_token, serial)
 
 
--- a/tests/configuration/test_configuration_incremental.py
+++ b/tests/configuration/test_configuration_incremental.py
@@ -13,7 +13,7 @@
 from hopsail.configuration.items import ItemJoiner, ItemSplitter, join_items, split_items
 from hopsail.configuration.replicated_configuration import ReplicatedConfiguration
 from hopsail.configuration.sharded_map import ShardedMap
-from hopsail.configuration.view import RouteTable
+from hopsail.configuration.route_table import RouteTable
 from hopsail.controlplane.commands import Command, CommandKind, Result
 from hopsail.controlplane.configuration_state import ConfigurationState
 
--- a/tests/golden/test_golden_configuration.py
+++ b/tests/golden/test_golden_configuration.py
@@ -21,7 +21,7 @@
     DATA_PLANE_SETTINGS,
     missing_settings,
 )
-from hopsail.configuration.view import RouteTable
+from hopsail.configuration.route_table import RouteTable
 from paths import DATA
 
 GOLDEN_FILE = DATA / "golden/configuration/golden.json"
--- a/tests/test_controlplane_kept.py
+++ b/tests/test_controlplane_kept.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from hopsail.configuration.view import RouteTable
+from hopsail.configuration.route_table import RouteTable
 from hopsail.controlplane import prefix_cache_reader
 from hopsail.controlplane.prefix_cache_reader import (
     HOST_INTERVAL_NS,
--- a/tests/test_controlplane_rollouts.py
+++ b/tests/test_controlplane_rollouts.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from hopsail.configuration.view import RouteTable
+from hopsail.configuration.route_table import RouteTable
 from hopsail.controlplane.commands import Command, CommandKind
 from hopsail.controlplane.shards import SHARD_COUNT, shard_of_service
 from hopsail.controlplane.rollouts import Rollouts
--- a/tests/weights/test_several_models.py
+++ b/tests/weights/test_several_models.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hopsail.configuration.view import RouteTable
+from hopsail.configuration.route_table import RouteTable
 from hopsail.controlplane.commands import Command, CommandKind
 from hopsail.feed.journal import Change
 from hopsail.feed.topics import Topic
