--- a/hopsail/controlplane/decisions.py
+++ b/hopsail/controlplane/decisions.py
@@ -124,7 +124,7 @@
 
     def _look(self) -> None:
         confirmed = self.shard.replica.read_ready(self.token)
-        if confirmed and self.shard.applied_index >= self.token.index:
+        if confirmed and self.shard.applied_index >= self.token.read_index:
             self.done(True)
         elif confirmed is None or self.process.loop.now() >= self.until:
             self.done(False)
--- a/hopsail/controlplane/replicas.py
+++ b/hopsail/controlplane/replicas.py
@@ -5,11 +5,13 @@
 
 from ..net.loop import READ
 from ..process import MILLISECOND, StartError
+from ..replication.errors import MessageError, StorageError
+from ..replication.records import ShardWrite
 from ..replication.disk_thread import DiskThread
-from ..replication.messages import MessageError, decode, encode
+from ..replication.messages import decode, encode
 from ..replication.replica import Replica
 from ..replication.state import DurableState, Members, Ready, ReplicaConfig
-from ..replication.storage import ShardWrite, Storage, StorageError
+from ..replication.storage import Storage
 from .commands import Command, Result
 from .configuration_state import ConfigurationState
 from .decisions import STEP_INTERVAL_MS
--- a/hopsail/controlplane/shard.py
+++ b/hopsail/controlplane/shard.py
@@ -6,9 +6,10 @@
 
 from ..configuration.codes import ResultCode
 from ..event_log import get_logger, log_exception
+from ..replication.errors import BusyError, NotLeaderError
 from ..replication.messages import Entry, EntryKind
 from ..replication.replica import Replica
-from ..replication.state import Busy, NotLeader, Ready, Snapshot
+from ..replication.state import Ready, Snapshot
 from .commands import Command, Result, decode_command
 from .compaction import Compaction
 
@@ -86,7 +87,7 @@
             return False
         try:
             index = self.replica.propose(now, command.encode())
-        except (NotLeader, Busy):
+        except (NotLeaderError, BusyError):
             return False
         self._pending[index] = (self.replica.term, done)
         self.pump()
--- a/hopsail/controlplane/voters.py
+++ b/hopsail/controlplane/voters.py
@@ -8,7 +8,8 @@
 from typing import NamedTuple
 
 from ..event_log import get_logger
-from ..replication.state import Busy, Members, NotLeader
+from ..replication.errors import BusyError, NotLeaderError
+from ..replication.state import Members
 
 log = get_logger("members")
 
@@ -74,7 +75,7 @@
             return
         try:
             replica.propose_members(now, desired.voters, desired.learners)
-        except (Busy, NotLeader):
+        except (BusyError, NotLeaderError):
             return
         self.plane.counters.add("members.changed")
         voters, learners = _named(desired.voters), _named(desired.learners)
--- a/hopsail/replication/disk_thread.py
+++ b/hopsail/replication/disk_thread.py
@@ -3,15 +3,18 @@
 Results come back through a pipe: the loop watches `descriptor` and calls `collect` when it is readable.
 """
 
+import contextlib
 import os
 import time
 from collections import deque
+from collections.abc import Callable
 from queue import SimpleQueue
 from threading import Thread
 from typing import NamedTuple
 
+from .errors import StorageError
 from .records import ShardWrite
-from .storage import Storage, StorageError
+from .storage import Storage
 
 WAKE_BYTES = 4096
 
@@ -27,7 +30,8 @@
     The caller bounds the queue: each replica has one write under way.
     """
 
-    def __init__(self, storage: Storage, clock=time.monotonic_ns):
+    def __init__(self, storage: Storage, clock: Callable[[], int] = time.monotonic_ns) -> None:
+        """Start the thread; `clock` gives the time in ns."""
         self.descriptor, self._wake_descriptor = os.pipe()
         os.set_blocking(self.descriptor, False)
         os.set_blocking(self._wake_descriptor, False)
@@ -49,10 +53,8 @@
 
     def collect(self) -> list[tuple[object, StorageError | None]]:
         """The writes that have ended since the last call: token, and None or what went wrong."""
-        try:
+        with contextlib.suppress(BlockingIOError):
             os.read(self.descriptor, WAKE_BYTES)
-        except BlockingIOError:
-            pass
         ended = []
         while self._results:
             ended.append(self._results.popleft())
@@ -90,7 +92,7 @@
             self._storage.write(batch)
         except StorageError as error:
             return error
-        except Exception as error:  # the loop must hear of every write
+        except Exception as error:  # the loop waits for the result of every write
             return StorageError(f"{type(error).__name__}: {error}")
         return None
 
@@ -101,7 +103,5 @@
             self.compaction_errors += 1
 
     def _wake(self) -> None:
-        try:
+        with contextlib.suppress(BlockingIOError):  # the pipe is full, so the loop will wake
             os.write(self._wake_descriptor, b"\0")
-        except BlockingIOError:
-            pass  # the pipe is full, so the loop will wake
--- a/hopsail/replication/durability.py
+++ b/hopsail/replication/durability.py
@@ -9,8 +9,10 @@
 PendingMessages = list[tuple[str, Struct]]
 
 
-@dataclass
-class _InFlight:
+@dataclass(slots=True)
+class InFlightWrite:
+    """A write under way: what it stores, and the messages that may leave once it is synced."""
+
     serial: int
     last_index: int
     hard_state: HardState | None
@@ -25,13 +27,14 @@
     the present state is synced.
     """
 
-    def __init__(self, log: Log, durable_term: int):
+    def __init__(self, log: Log, durable_term: int) -> None:
+        """Begin with a log that is synced, in a term that is."""
         self.durable_index = log.last_index
         self.durable_term = durable_term
         self.hard_state: HardState | None = None
         self.pending_messages: PendingMessages = []
         self.failing = False
-        self.in_flight: _InFlight | None = None
+        self.in_flight: InFlightWrite | None = None
         self._submitted_index = log.last_index
         self._truncate_from: int | None = None
         self._snapshot: Snapshot | None = None
@@ -80,7 +83,7 @@
             truncate_from=self._truncate_from,
             snapshot_to_store=self._snapshot,
         )
-        self.in_flight = _InFlight(
+        self.in_flight = InFlightWrite(
             self._serial,
             log.last_index,
             self.hard_state,
@@ -92,7 +95,7 @@
         self.pending_messages = []
         return ready
 
-    def complete_write(self, serial: int | None) -> _InFlight | None:
+    def complete_write(self, serial: int | None) -> InFlightWrite | None:
         """The write under way is synced; None if it is another one than `serial`."""
         done = self.in_flight
         if done is None or (serial is not None and serial != done.serial):
--- a/hopsail/replication/election.py
+++ b/hopsail/replication/election.py
@@ -1,16 +1,16 @@
-"""Elections: pre-votes, votes, and the hand-over from a leader to its successor.
+"""Elections: pre-votes, votes, and the transfer from a leader to its successor.
 
 Ongaro, Ousterhout, "In search of an understandable consensus algorithm" (2014), section 5.2 and 5.4; Ongaro,
 "Consensus: bridging theory and practice" (2014), sections 3.10 (transfer), 6.4 (leases) and 9.6 (pre-vote).
 """
 
-from .core import Role
 from .messages import RequestVote, RequestVoteReply, TimeoutNow
+from .replica_state import Role
 from .restart_checks import RestartChecks
 
 
 class Elections(RestartChecks):
-    """Asks for votes and gives them."""
+    """Requests votes and gives them."""
 
     def _may_stand(self) -> bool:
         return self.is_voter and not self.recovering and not self.durability.failing
@@ -94,7 +94,7 @@
         return self._has_recent_leader() and not self._is_restart_confirmed(message)
 
     def _has_recent_leader(self) -> bool:
-        """Whether this replica has lately promised a leader to elect no other."""
+        """Whether this replica has lately answered a leader, which relies on it to elect no other."""
         return self.is_leader or self.now - self._last_leader_contact_at < self.config.min_election_timeout_ns
 
     def _is_up_to_date(self, message: RequestVote) -> bool:
@@ -130,6 +130,3 @@
     def _on_timeout_now(self, sender: str, message: TimeoutNow) -> None:
         if message.term == self.term and sender == self.leader and self._may_stand():
             self._campaign(transfer=True)
-
-    def _become_leader(self) -> None:
-        raise NotImplementedError
--- a/hopsail/replication/follower_role.py
+++ b/hopsail/replication/follower_role.py
@@ -1,27 +1,23 @@
 """A follower's side of replication: entries, snapshots, acknowledgements, and the end of recovering."""
 
-from .core import ReplicaCore, Role
+from .core import ReplicaCore
+from .errors import MessageError
 from .messages import (
     AppendEntries,
     AppendEntriesReply,
     InstallSnapshot,
     InstallSnapshotReply,
-    MessageError,
     MessageChunk,
     MessageChunkReply,
     decode,
 )
-from .message_chunks import ChunkReceiver
+from .replica_state import PendingAcknowledgement, Role
 from .state import Members, Snapshot
 
 
 class FollowerRole(ReplicaCore):
     """Takes the log from the leader of the term."""
 
-    def _start_follower_state(self, started_at: int) -> None:
-        super()._start_follower_state(started_at)
-        self._chunk_receiver = ChunkReceiver(self.config.max_snapshot_bytes)
-
     def _on_append_entries(self, leader: str, message: AppendEntries) -> None:
         if not self._accept_leader(leader, message.term):
             return
@@ -33,7 +29,7 @@
         self._verified_index = max(self._verified_index, last)
         self.commit_index = max(self.commit_index, min(message.commit, self._verified_index))
         self._end_recovering(leader, message)
-        self._acknowledgement = (leader, message.heartbeat_round, message.sent_at)
+        self._acknowledgement = PendingAcknowledgement(leader, message.heartbeat_round, message.sent_at)
         self._acknowledge()
 
     def _accept_leader(self, leader: str, term: int) -> bool:
@@ -69,7 +65,7 @@
             return
 
     def _acknowledge(self) -> None:
-        """Answer the leader, if the term is synced: what it has sent counts up to where the disk has it."""
+        """Acknowledge to the leader, if the term is synced, what it has sent and the disk has."""
         if self._acknowledgement is None or not self._term_is_durable:
             return
         leader, number, sent_at = self._acknowledgement
@@ -79,6 +75,7 @@
         self._send(leader, self._reply(True, match, 0, number, sent_at))
 
     def _acknowledged_index(self) -> int:
+        """The index up to which the log is synced, and agrees with the leader's."""
         return min(self._verified_index, self.durability.durable_index)
 
     def _reply(self, success: bool, match: int, hint: int, number: int, sent_at: int) -> AppendEntriesReply:
@@ -94,7 +91,7 @@
         )
 
     def _end_recovering(self, leader: str, message: AppendEntries) -> None:
-        """Take the leader's word that a majority of others stands behind it; vote in later terms only."""
+        """End recovering, as a majority of others confirms the leader; vote in later terms only."""
         if self._recovery_recorded or message.recover_incarnation != self.incarnation:
             return
         if self._verified_index < message.recover_index:
@@ -123,7 +120,9 @@
         self._send_when_durable(leader, reply)
 
     def _replace_log(self, message: InstallSnapshot) -> None:
-        snapshot = Snapshot(message.index, message.entry_term, Members.of(message.members), message.data)
+        snapshot = Snapshot(
+            message.index, message.entry_term, Members.from_record(message.members), message.data
+        )
         self.log.reset(snapshot)
         self.durability.record_reset(snapshot)
         self.commit_index = self.applied_index = snapshot.index
@@ -162,7 +161,7 @@
             self._send_when_durable(leader, reply)
 
     def _handle_payload(self, leader: str, chunk: MessageChunk, data: bytes) -> None:
-        """Handle the message that the pieces add up to."""
+        """Handle the message that the chunks add up to."""
         try:
             message = decode(data)
         except MessageError:
--- a/hopsail/replication/generation.py
+++ b/hopsail/replication/generation.py
@@ -21,19 +21,21 @@
 class _AppendOnlyDatabase(_Database):
     """A `dbm.dumb` database that never rewrites its index, not even when it is closed or collected."""
 
-    def _commit(self):
+    def _commit(self) -> None:
         self._modified = False
 
     sync = _commit
 
-    def _update(self, flag):
-        self._index = {}  # keys are new and values are read by `Generation.read`: no need to parse the index
+    def _update(self, flag: str) -> None:
+        self._index: dict[
+            bytes, tuple[int, int]
+        ] = {}  # keys are new and values are read by `Generation.read`: no need to parse the index
         self._modified = False
 
-    def _chmod(self, file):
+    def _chmod(self, file: str) -> None:
         pass
 
-    def __delitem__(self, key):
+    def __delitem__(self, key: str | bytes) -> None:
         raise TypeError("records are not deleted")
 
     def forget(self, key: str) -> None:
@@ -44,8 +46,8 @@
 class Sizes(NamedTuple):
     """How far both files are known to be good, and the serial of the next record."""
 
-    index: int = 0
-    data: int = 0
+    index_bytes: int = 0
+    data_bytes: int = 0
     serial: int = 1
 
 
@@ -59,7 +61,8 @@
 class Generation:
     """Records in the order they were appended. `sizes` tells how far the files are known to be good."""
 
-    def __init__(self, folder: str, number: int):
+    def __init__(self, folder: str, number: int) -> None:
+        """Describe the generation of this number in a folder; nothing is opened yet."""
         self.number = number
         self.sizes = Sizes()
         self.is_clean = False  # nothing is in the files after `sizes`
@@ -78,7 +81,7 @@
         sizes = Sizes()
         for line in index.splitlines(keepends=True):
             value, end = self._value(line, sizes.serial, data)
-            sizes = Sizes(sizes.index + len(line), max(end, sizes.data), sizes.serial + 1)
+            sizes = Sizes(sizes.index_bytes + len(line), max(end, sizes.data_bytes), sizes.serial + 1)
             yield IndexedRecord(value, sizes)
 
     def _contents(self, suffix: str) -> bytes:
@@ -115,21 +118,22 @@
     def _go_back_to(self, sizes: Sizes) -> None:
         if self.sizes == sizes:
             return
-        for serial in range(sizes.serial, self.sizes.serial + 1):
-            self._database.forget(self._key_of(serial))
+        if self._database is not None:
+            for serial in range(sizes.serial, self.sizes.serial + 1):
+                self._database.forget(self._key_of(serial))
         self.sizes, self.is_clean = sizes, False
 
     def _append(self, value: bytes) -> None:
-        self.clean()
+        database = self.clean()
         self.is_clean = False
-        self._database[self._key_of(self.sizes.serial)] = value
+        database[self._key_of(self.sizes.serial)] = value
         self._sync()
         index, data = (os.fstat(file.fileno()).st_size for file in self._files)
         self.sizes = Sizes(index, data, self.sizes.serial + 1)
         self.is_clean = True
 
-    def clean(self) -> None:
-        """Cut both files after the last good record, and open them."""
+    def clean(self) -> _AppendOnlyDatabase:
+        """Truncate both files after the last good record, and open them."""
         if not self._files:
             self._files = [FileIO(self._path + suffix, "ab") for suffix in SUFFIXES]
         if not self.is_clean:
@@ -140,7 +144,9 @@
                 self._database.forget(self._key_of(self.sizes.serial))
             self.is_clean = True
         if self._database is None:
-            self._database = _AppendOnlyDatabase(self._path, 0o644, "c")
+            # typeshed has the mode as a string.
+            self._database = _AppendOnlyDatabase(self._path, 0o644, "c")  # type: ignore[arg-type]
+        return self._database
 
     @staticmethod
     def _key_of(serial: int) -> str:
@@ -151,7 +157,7 @@
             os.fsync(file.fileno())
 
     def close(self) -> None:
-        """Give the descriptors back; the files stay as they are."""
+        """Close the files, and leave their contents as they are."""
         for file in self._files:
             file.close()
         self._files = []
--- a/hopsail/replication/leader_role.py
+++ b/hopsail/replication/leader_role.py
@@ -1,7 +1,7 @@
 """A leader's side: its term, the members' replies, commits and proposals.
 
 A member that is recovering has forgotten votes and entries. It counts in no majority. The leader ends that
-only when an entry that it proposed after it first heard of the member's present incarnation (the barrier)
+only when an entry that it proposed after the first reply of the member's present incarnation (the barrier)
 is committed without the member, and the member holds it.
 
 A confirmed round would not do: a candidate of a later term that holds a forgotten vote may still be waiting
@@ -12,12 +12,12 @@
 the barrier.
 """
 
-from .core import Role
+from .errors import BusyError, NotLeaderError
+from .log_sender import LogSender
 from .membership_changes import MembershipChanges
 from .messages import AppendEntriesReply, EntryKind, InstallSnapshotReply, MessageChunkReply
 from .progress import Progress
-from .log_sender import LogSender
-from .state import Busy, NotLeader
+from .replica_state import Role
 
 
 class LeaderRole(LogSender, MembershipChanges):
@@ -83,9 +83,7 @@
         if progress.recovering and not progress.barrier_index:
             progress.barrier_index = self._append_entry(EntryKind.NOOP, b"")
         progress.last_reply_at = self.now
-        progress.acknowledged_heartbeat_round = max(
-            progress.acknowledged_heartbeat_round, reply.heartbeat_round
-        )
+        progress.acknowledged_round = max(progress.acknowledged_round, reply.heartbeat_round)
         progress.acknowledged_sent_at = max(progress.acknowledged_sent_at, reply.sent_at)
         return progress
 
@@ -113,15 +111,21 @@
     # Proposals.
 
     def propose(self, now: int, data: bytes) -> int:
-        """Append an entry and return its index; raises NotLeader and Busy."""
+        """Append an entry and return its index.
+
+        Raises:
+            NotLeaderError: this replica does not lead.
+            BusyError: the leadership is being transferred, or too many entries are not committed yet.
+
+        """
         self._check_proposal(now)
         return self._append_entry(EntryKind.DATA, data)
 
     def _check_proposal(self, now: int) -> None:
         self.now = now
         if not self.is_leader:
-            raise NotLeader(self.leader)
+            raise NotLeaderError(self.leader)
         if self._successor is not None:
-            raise Busy("the leadership is being handed over")
+            raise BusyError("the leadership is being transferred")
         if self.log.last_index - self.commit_index >= self.config.max_uncommitted_entries:
-            raise Busy("too many entries are not committed yet")
+            raise BusyError("too many entries are not committed yet")
--- a/hopsail/replication/log.py
+++ b/hopsail/replication/log.py
@@ -14,7 +14,14 @@
 class Log:
     """Entries `base_index + 1` to `last_index`; those up to `base_index` are gone."""
 
-    def __init__(self, snapshot: Snapshot | None, entries: list[Entry], members: Members):
+    def __init__(self, snapshot: Snapshot | None, entries: list[Entry], members: Members) -> None:
+        """Make a log of a snapshot, if there is one, and the entries after it.
+
+        `members`: those before the first entry, where there is no snapshot.
+        """
+        self._load(snapshot, entries, members)
+
+    def _load(self, snapshot: Snapshot | None, entries: list[Entry], members: Members) -> None:
         self.snapshot = snapshot
         self.base_index = snapshot.index if snapshot else 0
         self.base_term = snapshot.term if snapshot else 0
@@ -52,7 +59,7 @@
 
     @property
     def previous_electors(self) -> tuple[str, ...]:
-        """Those whose votes counted before that change, as far as the log still tells."""
+        """The members whose votes counted before that change, as far as the log still tells."""
         return self._members[-2][1].electors if len(self._members) > 1 else ()
 
     def term_at(self, index: int) -> int | None:
@@ -63,6 +70,18 @@
             return None
         return self._entries[index - self.base_index - 1].term
 
+    def known_term_at(self, index: int) -> int:
+        """The term of an entry that is in the log, or of its base.
+
+        Raises:
+            LookupError: the entry is not there.
+
+        """
+        term = self.term_at(index)
+        if term is None:
+            raise LookupError(f"entry {index} is not between {self.base_index} and {self.last_index}")
+        return term
+
     def size_between(self, after: int, last: int) -> int:
         """About how many bytes the entries after `after`, up to `last`, have, as far as they are here."""
         first = min(max(after - self.base_index, 0), len(self._entries))
@@ -82,7 +101,12 @@
         return chosen
 
     def append(self, entries: list[Entry]) -> None:
-        """Add entries that follow the last one."""
+        """Add entries that follow the last one.
+
+        Raises:
+            ValueError: they do not follow it.
+
+        """
         for entry in entries:
             if entry.index != self.last_index + 1:
                 raise ValueError(f"entry {entry.index} does not follow {self.last_index}")
@@ -110,15 +134,16 @@
         return [members for changed, members in self._members if changed <= index][-1]
 
     def compact(self, snapshot: Snapshot, needed_after: int | None = None) -> None:
-        """Take a snapshot of what is in the log; drop the entries that it covers, but for the last few.
+        """Set the newest snapshot, and drop the entries that it covers, except the last few.
 
-        Those after `needed_after` are kept as well, up to a bound, for a member that is catching up."""
+        Those after `needed_after` stay as well, up to a bound, for a member that is catching up.
+        """
         self.snapshot = snapshot
         base = self._bounded_base(max(snapshot.index - RETAINED_ENTRIES, 0), snapshot.index, RETAINED_BYTES)
         if needed_after is not None and needed_after < base:
             base = self._bounded_base(needed_after, snapshot.index, MAX_RETAINED_BYTES)
         base = max(base, self.base_index)
-        term = self.term_at(base)
+        term = self.known_term_at(base)
         del self._entries[: base - self.base_index]
         del self._ends[: base - self.base_index]
         self.base_index, self.base_term = base, term
@@ -133,4 +158,4 @@
 
     def reset(self, snapshot: Snapshot) -> None:
         """Replace the whole log by a snapshot."""
-        self.__init__(snapshot, [], snapshot.members)
+        self._load(snapshot, [], snapshot.members)
--- a/hopsail/replication/member_requests.py
+++ b/hopsail/replication/member_requests.py
@@ -1,4 +1,4 @@
-"""What a replica asks of the leader for its own membership: to receive the log, and to be let go.
+"""What a replica asks of the leader for its own membership: to receive the log, and to leave.
 
 One that is to end asks until the leader says that what it holds is on a majority without it. From the first
 such answer on it acknowledges nothing new: the leader must not rely on it for what it would take away.
@@ -12,11 +12,11 @@
 from .state import MILLISECOND
 
 LEAVE_REQUEST_INTERVAL_NS = 100 * MILLISECOND
-LEADERLESS_TIMEOUT_NS = 1500 * MILLISECOND  # after which one that leaves and hears no leader waits no longer
+LEADERLESS_TIMEOUT_NS = 1500 * MILLISECOND  # a member that leaves waits no longer for a leader
 MEMBER_REQUEST_TTL_NS = 2000 * MILLISECOND
 NEW_LEADER_GRACE_NS = (
     300 * MILLISECOND
-)  # a new leader, before it lets anyone go: those who would be members ask meanwhile
+)  # before a new leader lets members leave: new ones ask to join meanwhile
 MAX_MEMBER_REQUESTS = 64
 
 
@@ -28,8 +28,8 @@
     def ask_to_join(self, now: int, peers: Iterable[str]) -> None:
         """Tell these that this replica would receive the log, unless it does."""
         self.now = max(now, self.now)
-        heard = self.is_leader or self.now - self._last_leader_contact_at < LEADERLESS_TIMEOUT_NS
-        if self._leaving_since is not None or (heard and self.identity in self.members.all):
+        has_leader = self.is_leader or self.now - self._last_leader_contact_at < LEADERLESS_TIMEOUT_NS
+        if self._leaving_since is not None or (has_leader and self.identity in self.members.all):
             return
         for peer in peers:
             if peer != self.identity:
@@ -55,7 +55,7 @@
         if self._leaving_since is None or self.now < self._leave_request_at:
             return
         self._leave_request_at = self.now + LEAVE_REQUEST_INTERVAL_NS
-        if self.leader not in (None, self.identity) and not self._leave_granted:
+        if self.leader is not None and self.leader != self.identity and not self._leave_granted:
             self._send(self.leader, MemberRequest(leaving=True))
 
     def _on_leave_reply(self, leader: str, reply: LeaveReply) -> None:
@@ -73,6 +73,7 @@
         )
 
     def _acknowledged_index(self) -> int:
+        """The same as for a follower, but for one that leaves: nothing new once it may be let go."""
         index = super()._acknowledged_index()
         return index if self._acknowledgement_limit is None else min(index, self._acknowledgement_limit)
 
--- a/hopsail/replication/membership_changes.py
+++ b/hopsail/replication/membership_changes.py
@@ -13,29 +13,31 @@
 
 from dataclasses import replace
 
+from .errors import BusyError
 from .leadership_transfers import LeadershipTransfers
 from .leases import Leases
 from .messages import EntryKind
 from .progress import NEVER, Progress
-from .state import Busy, Members
+from .state import Members
 
 MAX_CAUGHT_UP_LAG_ENTRIES = 16  # entries
-MAX_FORMER_MEMBERS = 64  # members that went in this term, of which is known what they last said
+MAX_FORMER_MEMBERS = 64  # members that were removed in this term, whose incarnations are known
 
 
 class MembershipChanges(Leases, LeadershipTransfers):
     """Proposes changes of members, one at a time, and finishes those that it finds."""
 
     def _update_member_progress(self) -> None:
-        """Have a progress for each other member, and for nobody else.
+        """Have a Progress for each other member, and for nobody else.
 
-        That of a member which goes is kept for its return in this term: without its incarnations, a late
-        reply of the one before a lost disk would be taken for the newest, and the present one be ignored.
+        That of a member which is removed is kept for its return in this term: without its incarnations, a
+        late reply of the one before a lost disk would be taken for the newest, and the present one be
+        ignored.
         """
         others = [identity for identity in self.members.all if identity != self.identity]
         for identity, progress in self._progress.items():
             if identity not in others:
-                progress.chunk_sender = None  # a snapshot that nobody waits for any more
+                progress.chunk_sender = None  # of a snapshot that is not needed any more
                 self._former_progress[identity] = progress
         self._progress = {identity: self._progress_of(identity) for identity in others}
         while len(self._former_progress) > MAX_FORMER_MEMBERS:
@@ -47,19 +49,20 @@
             progress.reset_contact(self.log.last_index)
         return progress or Progress(self.log.last_index)
 
-    def _check_proposal(self, now: int) -> None:
-        raise NotImplementedError
-
     def propose_members(self, now: int, voters: tuple[str, ...], learners: tuple[str, ...] = ()) -> int:
         """Append a change of members and return its index.
 
-        The final entry of a change of voters follows once this one is committed. Raises NotLeader; Busy
-        while another change is under way or nothing of this term is committed; ValueError when no voter would
-        be left.
+        The final entry of a change of voters follows once this one is committed.
+
+        Raises:
+            NotLeaderError: this replica does not lead.
+            BusyError: another change is under way, or nothing of this term is committed.
+            ValueError: no voter would be left, or one is named twice.
+
         """
         self._check_proposal(now)
         if self._is_changing or not self._has_committed_in_term:
-            raise Busy("a change of members is under way")
+            raise BusyError("a change of members is under way")
         members = Members(tuple(voters), tuple(one for one in learners if one not in voters))
         if not members.voters or len(set(members.voters)) != len(members.voters):
             raise ValueError("the voters must be some, and different")
@@ -69,6 +72,7 @@
 
     @property
     def _is_changing(self) -> bool:
+        """Whether a change of members is under way."""
         return self.log.members_index > self.commit_index or self.members.is_joint
 
     def _append_members(self, members: Members) -> int:
@@ -77,7 +81,7 @@
         return index
 
     def _finish_change(self) -> None:
-        """Let the new voters decide alone, once both sets have agreed on it."""
+        """End a joint state, once both sets of voters have committed it."""
         if self.members.is_joint and self.log.members_index <= self.commit_index:
             self._append_members(self.members.final())
 
@@ -96,7 +100,7 @@
         return progress.last_reply_at if progress and progress.last_reply_at != NEVER else None
 
     def is_caught_up(self, identity: str) -> bool:
-        """Whether a member may become a voter: heard of lately, not recovering, few entries behind."""
+        """Whether a member may become a voter: has replied lately, is not recovering, few entries behind."""
         progress = self._progress.get(identity)
         if progress is None or progress.recovering or not self._has_committed_in_term:
             return False
--- a/hopsail/replication/message_chunks.py
+++ b/hopsail/replication/message_chunks.py
@@ -1,63 +1,71 @@
-"""Long messages cut into pieces, so that heartbeats pass between them. Pure: no I/O, no clock.
+"""Long messages sent in chunks, so that heartbeats pass between them. Pure: no I/O, no clock.
 
-A piece names the whole that it is of by index, term, length and checksum. Pieces are taken in order only;
-each is answered with how much of the whole the receiver holds, and the sender goes on from there after
-whatever was lost. What has been received is kept in memory: a receiver that restarts is sent the whole
-anew, which costs a bounded time, where pieces on disk would cost writes and a third state to tell apart
-after a loss of power.
+A chunk names the payload that it is of by index, term, length and checksum. Chunks are accepted in order
+only; each is answered with how much of the payload the receiver has, and the sender goes on from there
+after whatever was lost. What has been received is kept in memory: a receiver that restarts is sent the
+payload anew, which takes a bounded time, where chunks on disk would cost writes and a third state to tell
+apart after a loss of power. Times are ns.
 """
 
 from dataclasses import dataclass
 from hashlib import blake2b
 
 from .messages import MessageChunk, MessageChunkReply
+from .state import Snapshot
 
-CHUNK_BYTES = 32 << 10  # 52 ms on 5 Mbit/s
-MIN_WINDOW_CHUNKS = 2  # pieces sent and not yet answered
+CHUNK_BYTES = 32 << 10  # short enough for heartbeats to pass on a link of 5 Mbit/s
+MIN_WINDOW_CHUNKS = 2  # sent and not yet answered
 MAX_WINDOW_CHUNKS = 16
-MAX_BACKOFF_DOUBLINGS = 3  # doublings of the time without progress after which pieces are sent again
+MAX_BACKOFF_DOUBLINGS = 3  # of the time without progress after which chunks are sent again
 CHECKSUM_BYTES = 16
 
 
 @dataclass(frozen=True)
 class EncodedMessage:
-    """An encoded message, to be sent in pieces. `last_index`: where a log ends that has taken it."""
+    """An encoded message, to be sent in chunks. `last_index`: where a log ends that has taken it."""
 
     last_index: int
     entry_term: int
     data: bytes
     checksum: bytes
-    snapshot: object | None = None  # the Snapshot in it, None if it holds entries
+    snapshot: Snapshot | None = None  # that is in it, None if it brings entries
 
     @classmethod
-    def of(
-        cls, last_index: int, entry_term: int, data: bytes, snapshot: object | None = None
+    def create(
+        cls, last_index: int, entry_term: int, data: bytes, snapshot: Snapshot | None = None
     ) -> "EncodedMessage":
-        """With its checksum."""
+        """Make one with its checksum."""
         return cls(last_index, entry_term, data, checksum_of(data), snapshot)
 
 
 def checksum_of(data: bytes) -> bytes:
-    """What tells one whole from another, and a damaged one from what was sent."""
+    """Compute what tells one payload from another, and a damaged one from what was sent."""
     return blake2b(data, digest_size=CHECKSUM_BYTES).digest()
 
 
 class ChunkSender:
-    """Sends one whole to one receiver: few pieces at a time, more while the answers come quickly."""
+    """Sends one payload to one receiver: few chunks at a time, more while the replies come quickly.
 
-    def __init__(self, payload: EncodedMessage, now: int, fast_reply_time: int, progress_timeout: int):
+    `fast_reply_time`: a reply within it lets more chunks be in flight. `progress_timeout`: without progress
+    for so long, what was sent last is sent again.
+    """
+
+    def __init__(
+        self, payload: EncodedMessage, now: int, fast_reply_time: int, progress_timeout: int
+    ) -> None:
+        """Begin with the first chunk."""
         self.payload = payload
-        self.received = 0  # the receiver holds so much
+        self.received = 0  # bytes that the receiver has
         self.window = MIN_WINDOW_CHUNKS
         self._fast_reply_time, self._progress_timeout = fast_reply_time, progress_timeout
         self._sent = 0
-        self._newest_reply_sent_at = 0  # when that was sent which the last answer taken was for
+        self._newest_reply_sent_at = 0  # when the chunk was sent that the newest reply is for
         self._last_progress = now
         self._backoff = 0
-        self._filled_gap = -1  # a gap there has been filled at once
+        self._filled_gap = -1  # the offset of the last gap that has been filled at once
 
     def take_chunks(self, now: int) -> list[tuple[int, bytes]]:
-        """Offset and data of each piece to be sent now."""
+        """Choose what is to be sent now: the offset and data of each chunk."""
         if now - self._last_progress >= self._progress_timeout << self._backoff:
             self._resend(now)
         end = min(self.received + self.window * CHUNK_BYTES, len(self.payload.data))
@@ -68,7 +76,7 @@
         return chosen
 
     def _resend(self, now: int) -> None:
-        """Nothing has come of what was sent: send what is missing, or ask with the first piece."""
+        """Begin again where the receiver is; if it has all, with the first chunk, to be told so."""
         self.window = MIN_WINDOW_CHUNKS
         if self.received >= len(self.payload.data):
             self.received, self.window = 0, 1
@@ -77,7 +85,7 @@
         self._backoff = min(self._backoff + 1, MAX_BACKOFF_DOUBLINGS)
 
     def record_reply(self, reply: MessageChunkReply, now: int) -> None:
-        """The receiver has told how much it holds."""
+        """Record how much the receiver has."""
         received, sent_at = reply.received, reply.sent_at
         if reply.checksum != self.payload.checksum or not 0 <= received <= len(self.payload.data):
             return
@@ -92,27 +100,28 @@
             self._sent = received  # it has dropped what it had
         elif received < reply.offset and received != self._filled_gap:
             self._filled_gap = self._sent = (
-                received  # one before that piece is missing: once, go back at once
+                received  # a chunk before that one is missing: go back at once, but once only
             )
         self.received = received
         self._sent = max(self._sent, received)
 
-    def _record_progress(self, received: int, took: int, now: int) -> None:
+    def _record_progress(self, received: int, reply_time: int, now: int) -> None:
         self._last_progress = now
         if received < len(self.payload.data):
             self._backoff = 0
-        if took <= self._fast_reply_time:
+        if reply_time <= self._fast_reply_time:
             self.window = min(self.window + 1, MAX_WINDOW_CHUNKS)
         else:
             self.window = max(self.window // 2, MIN_WINDOW_CHUNKS)
 
 
 class ChunkReceiver:
-    """Collects one whole at a time, of at most `max_bytes`."""
+    """Collects one payload at a time, of at most `max_bytes`, for one replica."""
 
-    def __init__(self, max_bytes: int):
-        self._most_bytes = max_bytes
-        self._identity: tuple | None = None
+    def __init__(self, max_bytes: int) -> None:
+        """Begin with nothing; longer payloads than `max_bytes` are not collected."""
+        self._max_bytes = max_bytes
+        self._identity: tuple[int, int, int, bytes] | None = None  # index, term, length, checksum
         self._data = bytearray()
 
     @property
@@ -121,8 +130,8 @@
         return len(self._data)
 
     def add(self, chunk: MessageChunk) -> tuple[int, bytes | None]:
-        """How much of the piece's whole is held now, and the whole if that is all of it."""
-        if not 0 < chunk.total <= self._most_bytes:
+        """Add a chunk; give how much of its payload is here now, and the payload if that is all of it."""
+        if not 0 < chunk.total <= self._max_bytes:
             return 0, None
         identity = (chunk.index, chunk.entry_term, chunk.total, chunk.checksum)
         if identity != self._identity:
@@ -140,7 +149,7 @@
         return chunk.total, payload
 
     def drop_up_to(self, index: int) -> None:
-        """Forget a whole that ends at `index` or before."""
+        """Forget a payload that ends at `index` or before."""
         if self._identity is not None and self._identity[0] <= index:
             self.drop()
 
--- a/hopsail/replication/messages.py
+++ b/hopsail/replication/messages.py
@@ -1,25 +1,15 @@
 """Messages between the replicas of one log, as thrift structs.
 
-A message is one type byte followed by its struct. Rounds count the broadcasts of a leader within its term;
-a reply gives back the round and the time of sending (ns on the leader's own steady clock) of what it
-answers. An incarnation is a random number that a replica draws when it starts.
+A message is one type byte followed by its struct. `heartbeat_round` counts the broadcasts of a leader
+within its term; a reply gives back the round and the time of sending (`sent_at`, ns on the leader's own
+steady clock) of what it answers. An incarnation is a random number that a replica draws when it starts.
+Indexes and terms are those of the Raft protocol.
 """
 
 from enum import IntEnum
 
-from thrift.Thrift import TType
-
-from .structs import Struct, StructError, decode_struct, encode_struct, specification
-
-_LONG = (TType.I64, None)
-_BOOL = (TType.BOOL, None)
-_TEXT = (TType.STRING, "UTF8")
-_BYTES = (TType.STRING, "BINARY")
-_TEXTS = (TType.LIST, (TType.STRING, "UTF8", False))
-
-
-class MessageError(Exception):
-    """Bytes that are no message."""
+from .errors import MessageError, StructError
+from .structs import Struct, decode_struct, encode_struct
 
 
 class EntryKind(IntEnum):
@@ -30,20 +20,13 @@
     MEMBERS = 2
 
 
-def _fields(**types):
-    return specification(*((kind, name, arguments) for name, (kind, arguments) in types.items()))
-
-
-def structs_of(kind: type[Struct]):
-    """The field type `list of kind`."""
-    return TType.LIST, (TType.STRUCT, [kind, kind.thrift_spec], False)
-
-
 class Entry(Struct):
-    """One entry of the log."""
+    """One entry of the log; `kind` is the number of an EntryKind."""
 
-    __slots__ = ("term", "index", "kind", "data")
-    thrift_spec = _fields(term=_LONG, index=_LONG, kind=_LONG, data=_BYTES)
+    term: int
+    index: int
+    kind: int
+    data: bytes
 
 
 class MembersRecord(Struct):
@@ -52,29 +35,32 @@
     `outgoing`, in a joint entry only: the voters before the change that is under way.
     """
 
-    __slots__ = ("voters", "learners", "outgoing")
-    optional = frozenset({"outgoing"})
-    thrift_spec = _fields(voters=_TEXTS, learners=_TEXTS, outgoing=_TEXTS)
+    voters: list[str]
+    learners: list[str]
+    outgoing: list[str] | None
 
 
 class RequestVote(Struct):
-    """Asks for a vote in `term`; `pre_vote`: would it be given; `transfer`: the leader named the sender.
+    """Asks for a vote in `term`; with `pre_vote`, whether it would be given.
 
-    `incarnation`: the voter's incarnation, if the sender knows that no leader relies on its earlier ones.
+    `transfer`: the leader named the sender as its successor. `incarnation`: that of the voter, if the
+    sender knows that no leader relies on its earlier ones.
     """
 
-    __slots__ = ("term", "last_index", "last_term", "pre_vote", "transfer", "incarnation")
-    optional = frozenset({"incarnation"})
-    thrift_spec = _fields(
-        term=_LONG, last_index=_LONG, last_term=_LONG, pre_vote=_BOOL, transfer=_BOOL, incarnation=_LONG
-    )
+    term: int
+    last_index: int
+    last_term: int
+    pre_vote: bool
+    transfer: bool
+    incarnation: int | None
 
 
 class RequestVoteReply(Struct):
-    """Whether the vote is given; `term` is the asked one if granted, else the voter's own."""
+    """Whether the vote is given; `term` is the requested one if granted, else the voter's own."""
 
-    __slots__ = ("term", "granted", "pre_vote")
-    thrift_spec = _fields(term=_LONG, granted=_BOOL, pre_vote=_BOOL)
+    term: int
+    granted: bool
+    pre_vote: bool
 
 
 class AppendEntries(Struct):
@@ -84,148 +70,118 @@
     once its log agrees with the leader's up to `recover_index`.
     """
 
-    __slots__ = (
-        "term", "prev_index", "prev_term", "commit", "heartbeat_round", "sent_at",
-        "recover_incarnation", "recover_index", "entries",
-    )  # fmt: skip
-    thrift_spec = _fields(
-        term=_LONG,
-        prev_index=_LONG,
-        prev_term=_LONG,
-        commit=_LONG,
-        heartbeat_round=_LONG,
-        sent_at=_LONG,
-        recover_incarnation=_LONG,
-        recover_index=_LONG,
-        entries=structs_of(Entry),
-    )
+    term: int
+    prev_index: int
+    prev_term: int
+    commit: int
+    heartbeat_round: int
+    sent_at: int
+    recover_incarnation: int
+    recover_index: int
+    entries: list[Entry]
 
 
 class AppendEntriesReply(Struct):
-    """`match`: synced up to there, as the leader has it; `hint`: after a refusal, the last index to try."""
-
-    __slots__ = (
-        "term",
-        "success",
-        "match",
-        "hint",
-        "heartbeat_round",
-        "sent_at",
-        "incarnation",
-        "recovering",
-    )
-    thrift_spec = _fields(
-        term=_LONG,
-        success=_BOOL,
-        match=_LONG,
-        hint=_LONG,
-        heartbeat_round=_LONG,
-        sent_at=_LONG,
-        incarnation=_LONG,
-        recovering=_BOOL,
-    )
+    """`match`: synced up to there, as the leader has it; `hint`: after a rejection, the last index to try."""
+
+    term: int
+    success: bool
+    match: int
+    hint: int
+    heartbeat_round: int
+    sent_at: int
+    incarnation: int
+    recovering: bool
 
 
 class InstallSnapshot(Struct):
     """The state machine's snapshot at (`index`, `entry_term`), for a follower behind the compacted log."""
 
-    __slots__ = ("term", "index", "entry_term", "heartbeat_round", "sent_at", "members", "data")
-    thrift_spec = _fields(
-        term=_LONG,
-        index=_LONG,
-        entry_term=_LONG,
-        heartbeat_round=_LONG,
-        sent_at=_LONG,
-        members=(TType.STRUCT, [MembersRecord, MembersRecord.thrift_spec]),
-        data=_BYTES,
-    )
+    term: int
+    index: int
+    entry_term: int
+    heartbeat_round: int
+    sent_at: int
+    members: MembersRecord
+    data: bytes
 
 
 class InstallSnapshotReply(Struct):
     """The snapshot, or more, is synced: the log agrees with the leader's up to `match`."""
 
-    __slots__ = ("term", "match", "heartbeat_round", "sent_at", "incarnation", "recovering")
-    thrift_spec = _fields(
-        term=_LONG, match=_LONG, heartbeat_round=_LONG, sent_at=_LONG, incarnation=_LONG, recovering=_BOOL
-    )
+    term: int
+    match: int
+    heartbeat_round: int
+    sent_at: int
+    incarnation: int
+    recovering: bool
 
 
 class MessageChunk(Struct):
-    """A piece of an encoded message, InstallSnapshot or AppendEntries, too long to be sent at once.
+    """A chunk of an encoded InstallSnapshot or AppendEntries that is too long to be sent at once.
 
-    The whole is named by (`index`, `entry_term`) of the last entry that it brings, its length `total` and its
-    `checksum`.
+    The payload is named by (`index`, `entry_term`) of the last entry that it brings, its length `total`
+    (bytes) and its `checksum`. `offset`: where in the payload the chunk begins.
     """
 
-    __slots__ = (
-        "term", "index", "entry_term", "heartbeat_round", "sent_at", "total", "checksum", "offset", "data",
-    )  # fmt: skip
-    thrift_spec = _fields(
-        term=_LONG,
-        index=_LONG,
-        entry_term=_LONG,
-        heartbeat_round=_LONG,
-        sent_at=_LONG,
-        total=_LONG,
-        checksum=_BYTES,
-        offset=_LONG,
-        data=_BYTES,
-    )
+    term: int
+    index: int
+    entry_term: int
+    heartbeat_round: int
+    sent_at: int
+    total: int
+    checksum: bytes
+    offset: int
+    data: bytes
 
 
 class MessageChunkReply(Struct):
-    """After the piece at `offset`, `received` bytes of the whole, from its start, are held or done with."""
-
-    __slots__ = (
-        "term", "checksum", "offset", "received", "heartbeat_round", "sent_at", "incarnation", "recovering",
-    )  # fmt: skip
-    thrift_spec = _fields(
-        term=_LONG,
-        checksum=_BYTES,
-        offset=_LONG,
-        received=_LONG,
-        heartbeat_round=_LONG,
-        sent_at=_LONG,
-        incarnation=_LONG,
-        recovering=_BOOL,
-    )
+    """After the chunk at `offset`, `received` bytes from the payload's start are there, or not needed."""
+
+    term: int
+    checksum: bytes
+    offset: int
+    received: int
+    heartbeat_round: int
+    sent_at: int
+    incarnation: int
+    recovering: bool
 
 
 class TimeoutNow(Struct):
     """The leader of `term` has stepped down and asks the receiver to stand for election at once."""
 
-    __slots__ = ("term",)
-    thrift_spec = _fields(term=_LONG)
+    term: int
 
 
 class MemberRequest(Struct):
-    """Asks the leader to have the log sent to the sender; with `leaving`, to let the sender go."""
+    """Asks the leader to have the log sent to the sender; with `leaving`, to remove the sender."""
 
-    __slots__ = ("leaving",)
-    thrift_spec = _fields(leaving=_BOOL)
+    leaving: bool
 
 
 class LeaveReply(Struct):
     """Up to `index` the log of the leader of `term` is on a majority without the receiver; 0: not yet."""
 
-    __slots__ = ("term", "index")
-    thrift_spec = _fields(term=_LONG, index=_LONG)
+    term: int
+    index: int
 
 
 class RestartQuery(Struct):
-    """Asks a member which life it is in, and whether it has led or heard a leader in it."""
+    """Asks a member for its incarnation, and whether it has led or followed a leader in it."""
 
-    __slots__ = ("number",)
-    thrift_spec = _fields(number=_LONG)
+    number: int
 
 
 class RestartReply(Struct):
     """`fresh`: has neither led nor received from a leader in `incarnation`; `may_stand`: for election."""
 
-    __slots__ = ("number", "incarnation", "fresh", "may_stand", "last_term", "last_index")
-    thrift_spec = _fields(
-        number=_LONG, incarnation=_LONG, fresh=_BOOL, may_stand=_BOOL, last_term=_LONG, last_index=_LONG
-    )
+    number: int
+    incarnation: int
+    fresh: bool
+    may_stand: bool
+    last_term: int
+    last_index: int
 
 
 MESSAGE_TYPES: tuple[type[Struct], ...] = (
@@ -247,12 +203,17 @@
 
 
 def encode(message: Struct) -> bytes:
-    """The bytes of a message."""
+    """Encode a message."""
     return _TYPE_BYTES[type(message)] + encode_struct(message)
 
 
 def decode(data: bytes) -> Struct:
-    """The message in `data`; raises MessageError on anything unreadable."""
+    """Decode a message.
+
+    Raises:
+        MessageError: the bytes are unreadable.
+
+    """
     if not data or not 1 <= data[0] <= len(MESSAGE_TYPES):
         raise MessageError("unknown type of message")
     try:
--- a/hopsail/replication/progress.py
+++ b/hopsail/replication/progress.py
@@ -12,22 +12,23 @@
 class Progress:
     """A member as its leader sees it in this term."""
 
-    def __init__(self, last_index: int):
+    def __init__(self, last_index: int) -> None:
+        """Begin with a member of which nothing is known; `last_index`: of the leader's log."""
         self.incarnation = 0
         self.past_incarnations: deque[int] = deque(maxlen=MAX_PAST_INCARNATIONS)
         self.answered_sent_at = NEVER  # the latest message that the present incarnation has answered
-        self.forget(last_index)
+        self.reset(last_index)
         self.reset_contact(last_index)
 
     def reset_contact(self, last_index: int) -> None:
         """The member is one again: only its incarnations, and whether the present one recovers, are known."""
         self.last_reply_at = NEVER
-        self.acknowledged_heartbeat_round = 0
+        self.acknowledged_round = 0
         self.acknowledged_sent_at = NEVER
         self._probe(last_index)
 
-    def forget(self, last_index: int) -> None:
-        """Start anew: what the member holds is not known."""
+    def reset(self, last_index: int) -> None:
+        """Start anew: what the member has is not known."""
         self._probe(last_index)
         self.recovering = False
         self.barrier_index = 0
@@ -38,10 +39,10 @@
         self.probing = True
         self.send_now = True
         self.sent_commit = 0
-        self.chunk_sender: ChunkSender | None = None  # a message under way in pieces
+        self.chunk_sender: ChunkSender | None = None  # of a message under way in chunks
 
     def accept_incarnation(self, incarnation: int, recovering: bool, last_index: int, sent_at: int) -> bool:
-        """Note a reply's incarnation; False if the reply is of an earlier one, or is outdated in this one.
+        """Record a reply's incarnation; False if the reply is of an earlier one, or is outdated in this one.
 
         `sent_at` tells which message was answered. Messages reach a member in their order, so a later
         incarnation answers only those sent after all that an earlier one has had.
@@ -53,7 +54,7 @@
                 return False
             if self.incarnation:
                 self.past_incarnations.append(self.incarnation)
-                self.forget(last_index)
+                self.reset(last_index)
             self.incarnation = incarnation
             self.recovering = recovering
             self.answered_sent_at = sent_at
@@ -71,6 +72,13 @@
         if self.chunk_sender and self.match >= self.chunk_sender.payload.last_index:
             self.chunk_sender = None
 
+    @property
+    def expected_match(self) -> int:
+        """The index up to which the member has the log, after the snapshot that is under way to it."""
+        if self.chunk_sender is not None and self.chunk_sender.payload.snapshot is not None:
+            return self.chunk_sender.payload.last_index
+        return self.match
+
     @property
     def needs_snapshot(self) -> bool:
         """Whether a snapshot is under way to the member."""
--- a/hopsail/replication/record_chunks.py
+++ b/hopsail/replication/record_chunks.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator
 from hashlib import blake2b
 
-MAX_CHUNK_BYTES = 4 << 20  # bytes; about 45 ms of a disk that takes 90 MB a second
+MAX_CHUNK_BYTES = 4 << 20  # of one record, so that a slow disk is seen to go on
 CHUNK_MARKER = b"\xff\xff\xff\xff"
 COUNT_BYTES = 4
 CHECKSUM_BYTES = 8
@@ -44,6 +44,7 @@
     The value's own checksums tell whether it is what was written."""
 
     def __init__(self) -> None:
+        """Begin between two values."""
         self._chunks: list[bytes] = []
 
     @property
--- a/hopsail/replication/records.py
+++ b/hopsail/replication/records.py
@@ -1,22 +1,27 @@
-"""What storage writes: one value for each group commit, with checksums, and what they add up to."""
+"""What storage writes: one value for each group commit, with checksums, and the states that the values add
+up to.
 
+A value is a length (4 bytes, big-endian), a checksum (8 bytes) and a frame of that length, which names the
+records that follow it, each with its own length and checksum.
+"""
+
+from collections.abc import Sequence
 from dataclasses import dataclass, field
 from hashlib import blake2b
 from typing import NamedTuple
 
-from thrift.Thrift import TType
-
-from .messages import Entry, MembersRecord, structs_of
+from .errors import StructError
+from .messages import Entry, MembersRecord
 from .state import DurableState, HardState, Members, Ready, Snapshot
-from .structs import Struct, StructError, decode_struct, encode_struct, specification
+from .structs import Struct, decode_struct, encode_struct
 
 LENGTH_BYTES = 4
 CHECKSUM_BYTES = 8
-ENTRY_OVERHEAD_BYTES = 16
+ENTRY_OVERHEAD_BYTES = 16  # counted for each entry besides its data
 
 
 class ShardWrite(NamedTuple):
-    """What one part has to store."""
+    """What one shard's replica has to store."""
 
     shard: str
     ready: Ready
@@ -25,81 +30,77 @@
 class HardStateRecord(Struct):
     """A HardState; `voted_for` is empty for nobody."""
 
-    __slots__ = ("term", "voted_for", "recovered", "members")
-    thrift_spec = specification(
-        (TType.I64, "term", None),
-        (TType.STRING, "voted_for", "UTF8"),
-        (TType.BOOL, "recovered", None),
-        (TType.STRUCT, "members", [MembersRecord, MembersRecord.thrift_spec]),
-    )
+    term: int
+    voted_for: str
+    recovered: bool
+    members: MembersRecord
 
 
 class SnapshotRecord(Struct):
     """A Snapshot."""
 
-    __slots__ = ("index", "term", "members", "data")
-    thrift_spec = specification(
-        (TType.I64, "index", None),
-        (TType.I64, "term", None),
-        (TType.STRUCT, "members", [MembersRecord, MembersRecord.thrift_spec]),
-        (TType.STRING, "data", "BINARY"),
-    )
+    index: int
+    term: int
+    members: MembersRecord
+    data: bytes
 
 
 class ShardRecord(Struct):
-    """A PartWrite; applied in the order of the fields."""
-
-    __slots__ = ("shard", "hard_state", "truncate_from", "snapshot", "entries")
-    optional = frozenset({"hard_state", "truncate_from", "snapshot"})
-    thrift_spec = specification(
-        (TType.STRING, "shard", "UTF8"),
-        (TType.STRUCT, "hard_state", [HardStateRecord, HardStateRecord.thrift_spec]),
-        (TType.I64, "truncate_from", None),
-        (TType.STRUCT, "snapshot", [SnapshotRecord, SnapshotRecord.thrift_spec]),
-        (TType.LIST, "entries", structs_of(Entry)[1]),
-    )
+    """A ShardWrite; applied in the order of the fields."""
+
+    shard: str
+    hard_state: HardStateRecord | None
+    truncate_from: int | None
+    snapshot: SnapshotRecord | None
+    entries: list[Entry]
 
 
 class SectionRecord(Struct):
-    """Where in a group commit the record of a part is: after those before it."""
+    """The shard, length (bytes) and checksum of a record in a group commit; records follow each other."""
 
-    __slots__ = ("shard", "size", "checksum")
-    thrift_spec = specification(
-        (TType.STRING, "shard", "UTF8"), (TType.I64, "size", None), (TType.STRING, "checksum", "BINARY")
-    )
+    shard: str
+    size: int
+    checksum: bytes
 
 
 class FrameRecord(Struct):
     """What a group commit consists of."""
 
-    __slots__ = ("sections",)
-    thrift_spec = specification((TType.LIST, "sections", structs_of(SectionRecord)[1]))
+    sections: list[SectionRecord]
 
 
 def shard_record(write: ShardWrite) -> ShardRecord:
-    """The record of what one part has to store."""
+    """Make the record of what one shard has to store."""
     ready = write.ready
-    hard_state = ready.hard_state and HardStateRecord(
-        term=ready.hard_state.term,
-        voted_for=ready.hard_state.voted_for or "",
-        recovered=ready.hard_state.recovered,
-        members=ready.hard_state.members.record(),
-    )
-    kept = ready.snapshot_to_store
-    snapshot = kept and SnapshotRecord(
-        index=kept.index, term=kept.term, members=kept.members.record(), data=kept.data
-    )
     return ShardRecord(
         shard=write.shard,
-        hard_state=hard_state,
+        hard_state=_hard_state_record(ready.hard_state) if ready.hard_state else None,
         truncate_from=ready.truncate_from,
-        snapshot=snapshot,
+        snapshot=_snapshot_record(ready.snapshot_to_store) if ready.snapshot_to_store else None,
         entries=ready.entries_to_store,
     )
 
 
-def encode_group_commit(records: list[ShardRecord]) -> bytes:
-    """The value of one group commit: its frame, with a checksum, then the records it names."""
+def _hard_state_record(hard_state: HardState) -> HardStateRecord:
+    return HardStateRecord(
+        term=hard_state.term,
+        voted_for=hard_state.voted_for or "",
+        recovered=hard_state.recovered,
+        members=hard_state.members.to_record(),
+    )
+
+
+def _snapshot_record(snapshot: Snapshot) -> SnapshotRecord:
+    return SnapshotRecord(
+        index=snapshot.index,
+        term=snapshot.term,
+        members=snapshot.members.to_record(),
+        data=snapshot.data,
+    )
+
+
+def encode_group_commit(records: Sequence[ShardRecord]) -> bytes:
+    """Encode one group commit: its frame, with a checksum, then the records it names."""
     encoded = [encode_struct(record) for record in records]
     sections = [
         SectionRecord(shard=record.shard, size=len(data), checksum=_checksum(data))
@@ -110,14 +111,14 @@
 
 
 class Section(NamedTuple):
-    """What a group commit has for one part; `record` is None if it is damaged."""
+    """What a group commit has for one shard; `record` is None if it is damaged."""
 
     shard: str
     record: ShardRecord | None
 
 
 def decode_group_commit(value: bytes) -> list[Section] | None:
-    """The sections of one group commit; None if it cannot be told which parts it has."""
+    """Decode the sections of one group commit; None if it cannot be told which shards it has."""
     start = LENGTH_BYTES + CHECKSUM_BYTES
     end = start + int.from_bytes(value[:LENGTH_BYTES], "big")
     frame = value[start:end]
@@ -144,24 +145,36 @@
         return None
 
 
+def _hard_state(record: HardStateRecord) -> HardState:
+    return HardState(
+        term=record.term,
+        voted_for=record.voted_for or None,
+        recovered=record.recovered,
+        members=Members.from_record(record.members),
+    )
+
+
 def _checksum(data: bytes) -> bytes:
     return blake2b(data, digest_size=CHECKSUM_BYTES).digest()
 
 
 @dataclass
 class ShardState:
-    """A part as its records have made it; shares entries and snapshot with the replica in memory."""
+    """A shard as its records have made it; shares entries and snapshot with the replica in memory."""
 
     hard_state: HardState | None = None
     snapshot: Snapshot | None = None
     entries: list[Entry] = field(default_factory=list)
 
     def apply(self, record: ShardRecord) -> None:
-        """Take a record into account; raises StructError if it does not follow the ones before."""
+        """Apply a record.
+
+        Raises:
+            StructError: the entries do not follow those of the records before.
+
+        """
         if record.hard_state:
-            kept = record.hard_state
-            members = Members.of(kept.members)
-            self.hard_state = HardState(kept.term, kept.voted_for or None, kept.recovered, members)
+            self.hard_state = _hard_state(record.hard_state)
         if record.truncate_from is not None:
             while self.entries and self.entries[-1].index >= record.truncate_from:
                 self.entries.pop()
@@ -173,7 +186,12 @@
             self.entries.append(entry)
 
     def check(self, record: ShardRecord) -> None:
-        """Raise StructError if the entries of a record would leave a gap."""
+        """Check that the entries of a record follow those that are here.
+
+        Raises:
+            StructError: they would leave a gap.
+
+        """
         last = self.last_index
         if record.truncate_from is not None:
             last = min(last, record.truncate_from - 1)
@@ -183,9 +201,10 @@
             if entry.index != number:
                 raise StructError(f"entry {entry.index} is not {number}")
 
-    def _install_snapshot(self, kept: SnapshotRecord) -> None:
-        self.snapshot = Snapshot(kept.index, kept.term, Members.of(kept.members), kept.data)
-        self.entries = [entry for entry in self.entries if entry.index > kept.index]
+    def _install_snapshot(self, record: SnapshotRecord) -> None:
+        members = Members.from_record(record.members)
+        self.snapshot = Snapshot(index=record.index, term=record.term, members=members, data=record.data)
+        self.entries = [entry for entry in self.entries if entry.index > record.index]
 
     @property
     def last_index(self) -> int:
@@ -196,20 +215,20 @@
 
     @property
     def size(self) -> int:
-        """About how many bytes the part needs on disk."""
+        """About how many bytes the shard needs on disk."""
         entries = sum(len(entry.data) + ENTRY_OVERHEAD_BYTES for entry in self.entries)
         return entries + (len(self.snapshot.data) if self.snapshot else 0)
 
-    def record(self, shard: str) -> ShardRecord:
-        """One record that holds the whole part."""
-        whole = Ready(
+    def to_record(self, shard: str) -> ShardRecord:
+        """Make one record that holds the complete shard."""
+        everything = Ready(
             hard_state=self.hard_state, snapshot_to_store=self.snapshot, entries_to_store=self.entries
         )
-        return shard_record(ShardWrite(shard, whole))
+        return shard_record(ShardWrite(shard, everything))
 
     def durable(self) -> DurableState:
-        """The state to start a replica with."""
-        hard_state = self.hard_state or HardState(0, None, False, Members())
+        """Give the state to start a replica with."""
+        hard_state = self.hard_state or HardState(term=0, voted_for=None, recovered=False, members=Members())
         return DurableState(
             term=hard_state.term,
             voted_for=hard_state.voted_for,
--- a/hopsail/replication/replica.py
+++ b/hopsail/replication/replica.py
@@ -1,14 +1,15 @@
 """One replica of a replicated log, without I/O and without a clock.
 
 Ongaro, Ousterhout, "In search of an understandable consensus algorithm" (2014), with pre-vote, check of the
-quorum, leases by the steady clock, linearizable reads, hand-over, changes of voters by joint consensus,
+quorum, leases by the steady clock, linearizable reads, transfers, changes of voters by joint consensus,
 and the return of voters that have lost their disk (see `leader_role.py`).
 
 The driver gives `receive` and `tick` the time, does what `take_ready` returns, and says `persisted` or
 `storage_failed` when a write has ended. Before every call the driver reads its steady clock anew.
 """
 
-from .core import Role
+from typing import ClassVar
+
 from .election import Elections
 from .follower_role import FollowerRole
 from .leader_role import LeaderRole
@@ -16,12 +17,13 @@
 from .messages import (
     AppendEntries,
     AppendEntriesReply,
+    Entry,
     InstallSnapshot,
     InstallSnapshotReply,
-    MessageChunk,
-    MessageChunkReply,
     LeaveReply,
     MemberRequest,
+    MessageChunk,
+    MessageChunkReply,
     RequestVote,
     RequestVoteReply,
     RestartQuery,
@@ -29,6 +31,7 @@
     TimeoutNow,
 )
 from .progress import NEVER
+from .replica_state import Role
 from .state import MILLISECOND, PeerStatus, Ready, ReplicaStatus, Snapshot
 from .structs import Struct
 
@@ -40,7 +43,7 @@
 class Replica(MemberRequests, LeaderRole, FollowerRole, Elections):
     """A replica of one log; see the module for how it is driven."""
 
-    _handlers = {
+    _HANDLERS: ClassVar[dict[type[Struct], str]] = {
         RequestVote: "_on_request_vote",
         RequestVoteReply: "_on_request_vote_reply",
         AppendEntries: "_on_append_entries",
@@ -57,13 +60,13 @@
     }
 
     def receive(self, now: int, sender: str, message: Struct) -> None:
-        """Take a message of another replica; `sender` is its identity."""
+        """Handle a message of another replica; `sender` is its identity."""
         self.tick(now)
         if sender != self.identity:
             self._handle(sender, message)
 
     def _handle(self, sender: str, message: Struct) -> None:
-        getattr(self, self._handlers[type(message)])(sender, message)
+        getattr(self, self._HANDLERS[type(message)])(sender, message)
 
     @property
     def due(self) -> int:
@@ -107,7 +110,7 @@
             return ready
         return None
 
-    def _collect_committed(self) -> list:
+    def _collect_committed(self) -> list[Entry]:
         last = min(self.commit_index, self.applied_index + MAX_APPLIED_ENTRIES)
         entries = self.log.slice(self.applied_index + 1, last) if last > self.applied_index else []
         self.applied_index = last
@@ -159,26 +162,27 @@
         return last > first and self.log.size_between(first, last) >= self.config.snapshot_after_bytes
 
     def compact(self, snapshot_index: int, data: bytes) -> None:
-        """Take the state machine's snapshot at `snapshot_index`, which must have been applied."""
+        """Compact the log by the state machine's snapshot at `snapshot_index`, which must have been applied.
+
+        Raises:
+            ValueError: it has not been applied, or there is a later snapshot.
+
+        """
         if not self.log.snapshot_index < snapshot_index <= self.applied_index:
             raise ValueError(f"no snapshot can be taken at {snapshot_index}")
-        term, members = self.log.term_at(snapshot_index), self.log.members_at(snapshot_index)
+        term, members = self.log.known_term_at(snapshot_index), self.log.members_at(snapshot_index)
         snapshot = Snapshot(snapshot_index, term, members, data)
         self.log.compact(snapshot, self._lowest_needed())
         self.durability.record_snapshot(snapshot)
 
     def _lowest_needed(self) -> int:
-        """The index after which the members heard of lately need the entries."""
-        lately = [
-            progress
+        """The index after which the members that have replied lately need the entries."""
+        needed = [
+            progress.expected_match
             for progress in self._progress.values()
             if self.now - progress.last_reply_at < RECENT_REPLY_NS
         ]
-        held = [
-            progress.chunk_sender.payload.last_index if progress.needs_snapshot else progress.match
-            for progress in lately
-        ]
-        return min(held, default=self.log.last_index)
+        return min(needed, default=self.log.last_index)
 
     def status(self, now: int) -> ReplicaStatus:
         """The replica in figures."""
--- a/hopsail/replication/schedule.py
+++ b/hopsail/replication/schedule.py
@@ -1,12 +1,15 @@
 """Random schedules of faults for the simulation: the same for a seed."""
 
+import contextlib
 from dataclasses import dataclass
 from random import Random
+from typing import Any
 
+from .errors import BusyError, NotLeaderError
 from .log import Log
 from .replica import Replica
 from .simulation import Network, Node, Simulation
-from .state import MILLISECOND, Busy, Members, NotLeader
+from .state import MILLISECOND, Members
 
 ROUGH = Network(loss=0.03, duplication=0.05, max_delay=20 * MILLISECOND, long_delay=0.03)
 CALM = Network()
@@ -37,7 +40,8 @@
 class Schedule:
     """Plays steps on a simulation; at most a minority of the voters has lost its disk at a time."""
 
-    def __init__(self, simulation: Simulation, random: Random, weights: Weights):
+    def __init__(self, simulation: Simulation, random: Random, weights: Weights) -> None:
+        """Draw the steps of a simulation by their weights."""
         self.simulation = simulation
         self.random = random
         self._most_lost = (len(simulation.initial.voters) - 1) // 2
@@ -106,14 +110,14 @@
 
     def _members(self) -> None:
         name = self.simulation.leader()
-        replica = self.simulation.nodes[name].replica if name else None
+        if name is None:
+            return
+        replica = self.simulation.nodes[name].replica
         if replica is None or not self.simulation.nodes.keys() - self.simulation.initial.voters:
             return
         voters, learners = self._changed(replica)
-        try:
+        with contextlib.suppress(NotLeaderError, BusyError):
             self.simulation.propose_members(name, voters, learners)
-        except (NotLeader, Busy):
-            pass
 
     def _changed(self, replica: Replica) -> tuple[tuple[str, ...], tuple[str, ...]]:
         """The members after a change: voters are swapped, or a learner or a voter comes or goes."""
@@ -166,14 +170,22 @@
     def _transfer(self) -> None:
         leader = self.simulation.leader()
         if leader and self.simulation.nodes[leader].frozen_until <= self.simulation.now:
-            try:
+            with contextlib.suppress(NotLeaderError, BusyError):
                 self.simulation.transfer(leader)
-            except (NotLeader, Busy):
-                pass
 
 
-def play_schedule(seed: int, steps: int = 12, weights: Weights = DEFAULT_WEIGHTS, **options) -> Simulation:
-    """Play one schedule from start to end; raises Violation. `options` are those of Simulation."""
+def play_schedule(
+    seed: int,
+    steps: int = 12,
+    weights: Weights = DEFAULT_WEIGHTS,
+    **options: Any,  # noqa: ANN401  # handed on
+) -> Simulation:
+    """Play one schedule from start to end; `options` are those of Simulation.
+
+    Raises:
+        ViolationError: something happened that must never happen.
+
+    """
     random = Random(f"schedule/{seed}")
     max_pause = random.choice((50, 200, 500)) * MILLISECOND
     network = random.choice((CALM, ROUGH))
--- a/hopsail/replication/simulation.py
+++ b/hopsail/replication/simulation.py
@@ -11,16 +11,16 @@
 from heapq import heappop, heappush
 from itertools import count
 from random import Random
+from typing import TypeVar
 
+from .errors import BusyError, NotLeaderError
 from .messages import Entry, EntryKind
 from .records import ShardState, ShardWrite, shard_record
 from .replica import Replica
 from .state import (
     MILLISECOND,
-    Busy,
     DurableState,
     Members,
-    NotLeader,
     ReadToken,
     Ready,
     ReplicaConfig,
@@ -30,9 +30,10 @@
 
 SHARD = "shard"
 MAX_ATTEMPTS = 10
+T = TypeVar("T")
 
 
-class Violation(AssertionError):
+class ViolationError(AssertionError):
     """Something happened that must never happen."""
 
 
@@ -51,7 +52,8 @@
 class Disk:
     """What a replica has synced; `write` applies a Ready only when it is synced."""
 
-    def __init__(self):
+    def __init__(self) -> None:
+        """Begin with an empty disk."""
         self.state: ShardState | None = None
         self.delay = 5 * MILLISECOND
         self.refuses = False
@@ -76,7 +78,7 @@
     def apply(self, entry: Entry) -> None:
         """Apply the next entry."""
         if entry.index != self.index + 1:
-            raise Violation(f"entry {entry.index} applied after {self.index}")
+            raise ViolationError(f"entry {entry.index} applied after {self.index}")
         self.index = entry.index
         if entry.kind == EntryKind.DATA:
             self.values.append(entry.data)
@@ -92,9 +94,10 @@
 
 
 class Checker:
-    """Collects what the replicas show, and raises Violation."""
+    """Collects what the replicas show, and raises ViolationError."""
 
-    def __init__(self):
+    def __init__(self) -> None:
+        """Begin before anything was shown."""
         self.leaders: dict[int, str] = {}
         self.committed: dict[int, tuple[int, int, bytes]] = {}
         self.acknowledged: dict[bytes, int] = {}
@@ -104,14 +107,14 @@
         """A replica leads a term."""
         other = self.leaders.setdefault(term, identity)
         if other != identity:
-            raise Violation(f"{other} and {identity} lead term {term}")
+            raise ViolationError(f"{other} and {identity} lead term {term}")
 
     def commits(self, entry: Entry) -> None:
         """A replica has applied an entry."""
         shown = (entry.term, entry.kind, entry.data)
         other = self.committed.setdefault(entry.index, shown)
         if other != shown:
-            raise Violation(f"entry {entry.index} is {other} and {shown}")
+            raise ViolationError(f"entry {entry.index} is {other} and {shown}")
 
     def acknowledges(self, value: bytes, index: int) -> None:
         """A client was told that its value is stored."""
@@ -121,7 +124,7 @@
         """A read was answered; `must_have`: the highest index acknowledged when it began."""
         self.reads += 1
         if machine.index < must_have:
-            raise Violation(f"a read at {machine.index} misses {must_have}")
+            raise ViolationError(f"a read at {machine.index} misses {must_have}")
 
     @property
     def highest(self) -> int:
@@ -132,10 +135,11 @@
 class Node:
     """A process with a replica, a state machine and a disk."""
 
-    def __init__(self, identity: str):
+    def __init__(self, identity: str) -> None:
+        """Make a process that does not run yet."""
         self.identity = identity
         self.disk = Disk()
-        self.replica: Replica | None = None
+        self.replica: Replica | None = None  # while the process runs
         self.machine = StateMachine()
         self.incarnation = 0
         self.frozen_until = 0
@@ -144,11 +148,23 @@
         self.waiting: dict[int, bytes] = {}
         self.reads: list[tuple[ReadToken, int]] = []
 
+    @property
+    def running_replica(self) -> Replica:
+        """The replica of a process that runs.
+
+        Raises:
+            ViolationError: it does not.
+
+        """
+        if self.replica is None:
+            raise ViolationError(f"{self.identity} does not run")
+        return self.replica
+
 
 class Simulation:
     """Replicas `r0`, `r1`... of one log; `factory` makes them, so that tests can break one guard."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0913  # independent options, all with defaults but the seed
         self,
         seed: int,
         voters: int = 3,
@@ -157,7 +173,8 @@
         factory: type[Replica] = Replica,
         snapshot_after: int = 200,
         lease_reads: bool = True,
-    ):
+    ) -> None:
+        """Start the voters, bootstrapped, and the spares, with empty disks."""
         self.random = Random(seed)
         self.network = network or Network()
         self.factory = factory
@@ -171,7 +188,7 @@
         names = [f"r{number}" for number in range(voters + spares)]
         self.initial = Members(tuple(names[:voters]))
         self.nodes = {name: Node(name) for name in names}
-        self._events: list = []
+        self._events: list[tuple[int, int, Callable[[], None]]] = []
         self._order = count()
         self._values = count()
         for name in names:
@@ -238,26 +255,31 @@
             action()
         self.now = end
 
-    def run_until(self, condition: Callable[[], object], most: int = 20_000 * MILLISECOND):
-        """Let time pass until the condition holds, and return its value; Violation if it takes too long."""
+    def run_until(self, condition: Callable[[], T], most: int = 20_000 * MILLISECOND) -> T:
+        """Let time pass until the condition holds, and return its value.
+
+        Raises:
+            ViolationError: that takes too long.
+
+        """
         end = self.now + most
         while not (value := condition()):
             if not self._events or self._events[0][0] > end:
-                raise Violation("the condition is not reached")
+                raise ViolationError("the condition is not reached")
             self.now, _, action = heappop(self._events)
             action()
         return value
 
     def leader(self) -> str | None:
         """The running leader of the highest term."""
-        leading = [node for node in self.nodes.values() if node.replica and node.replica.is_leader]
-        best = max(leading, key=lambda node: node.replica.term, default=None)
+        leading = [node.replica for node in self.nodes.values() if node.replica and node.replica.is_leader]
+        best = max(leading, key=lambda replica: replica.term, default=None)
         return best.identity if best else None
 
     def settled_leader(self) -> str | None:
         """A leader that has committed an entry of its own term and holds a lease."""
         name = self.leader()
-        return name if name and self.nodes[name].replica.lease_valid(self.now) else None
+        return name if name and self.nodes[name].running_replica.lease_valid(self.now) else None
 
     # Clients.
 
@@ -269,7 +291,7 @@
         value = b"value-%d" % next(self._values)
         try:
             index = node.replica.propose(self.now, value)
-        except (NotLeader, Busy):
+        except (NotLeaderError, BusyError):
             return None
         node.waiting[index] = value
         self._work(node)
@@ -288,12 +310,12 @@
 
     def transfer(self, name: str) -> None:
         """Have a leader hand over."""
-        self.nodes[name].replica.transfer(self.now)
+        self.nodes[name].running_replica.transfer(self.now)
         self._work(self.nodes[name])
 
     def propose_members(self, name: str, voters: tuple[str, ...], learners: tuple[str, ...]) -> None:
         """Have a leader propose a change of members."""
-        self.nodes[name].replica.propose_members(self.now, voters, learners)
+        self.nodes[name].running_replica.propose_members(self.now, voters, learners)
         self._work(self.nodes[name])
 
     # The driver of one replica.
@@ -328,7 +350,7 @@
     def _answer_reads(self, node: Node) -> None:
         remaining = []
         for token, must_have in node.reads:
-            answer = node.replica.read_ready(token)
+            answer = node.running_replica.read_ready(token)
             if answer:
                 self.checker.check_read(must_have, node.machine)
             elif answer is False:
@@ -336,8 +358,9 @@
         node.reads = remaining
 
     def _compact(self, node: Node) -> None:
-        if node.replica.snapshot_due:
-            node.replica.compact(node.machine.index, node.machine.encode())
+        replica = node.running_replica
+        if replica.snapshot_due:
+            replica.compact(node.machine.index, node.machine.encode())
             self._work(node)
 
     def _wake_at(self, node: Node, due: int) -> None:
@@ -352,7 +375,7 @@
         if node.incarnation != incarnation:
             return
         node.wake_at = None
-        self._when_awake(node, incarnation, lambda: node.replica.tick(self.now))
+        self._when_awake(node, incarnation, lambda: node.running_replica.tick(self.now))
 
     def _when_awake(self, node: Node, incarnation: int, action: Callable[[], None]) -> None:
         """Do something in a process, once it is not frozen and if it has not ended."""
@@ -382,9 +405,9 @@
 
     def _written(self, node: Node, ready: Ready, refused: bool) -> None:
         if refused:
-            node.replica.storage_failed(self.now)
+            node.running_replica.storage_failed(self.now)
         else:
-            node.replica.persisted(self.now, ready.serial)
+            node.running_replica.persisted(self.now, ready.serial)
 
     def send(self, sender: str, receiver: str, message: Struct) -> None:
         """Put a message on the network."""
@@ -408,9 +431,11 @@
     def deliver_after(self, delay: int, sender: str, receiver: str, message: Struct) -> None:
         """Deliver a message after a while, to whatever process runs there then."""
 
-        def deliver():
+        def deliver() -> None:
             node = self.nodes[receiver]
-            self._when_awake(node, node.incarnation, lambda: node.replica.receive(self.now, sender, message))
+            self._when_awake(
+                node, node.incarnation, lambda: node.running_replica.receive(self.now, sender, message)
+            )
 
         self.at(self.now + delay, deliver)
 
@@ -427,11 +452,11 @@
                 self.start(name)
         value = self._acknowledge_one()
         self.run_until(lambda: all(value in node.machine.values for node in self._voters()))
-        self.run_until(lambda: not any(node.replica.recovering for node in self._voters()))
+        self.run_until(lambda: not any(node.running_replica.recovering for node in self._voters()))
         for value in self.checker.acknowledged:
             for node in self._voters():
                 if value not in node.machine.values:
-                    raise Violation(f"{node.identity} has lost {value!r}")
+                    raise ViolationError(f"{node.identity} has lost {value!r}")
 
     def _acknowledge_one(self) -> bytes:
         """Propose until a value is acknowledged, and return it."""
@@ -440,14 +465,16 @@
             self.run(500 * MILLISECOND)
             if value in self.checker.acknowledged:
                 return value
-        raise Violation("nothing is acknowledged any more")
+        raise ViolationError("nothing is acknowledged any more")
 
     def _propose_somewhere(self) -> bytes | None:
         leader = self.settled_leader()
-        index = self.propose(leader) if leader else None
-        return self.nodes[leader].waiting.get(index) if index else None
+        if leader is None:
+            return None
+        index = self.propose(leader)
+        return None if index is None else self.nodes[leader].waiting.get(index)
 
     def _voters(self) -> list[Node]:
         """The voters as the replica that has applied most knows them."""
         best = max(self.nodes.values(), key=lambda node: node.machine.index)
-        return [self.nodes[name] for name in best.replica.voters]
+        return [self.nodes[name] for name in best.running_replica.voters]
--- a/hopsail/replication/state.py
+++ b/hopsail/replication/state.py
@@ -1,4 +1,4 @@
-"""Types that a replica shares with its driver: rules, durable state, what is ready to be done, errors.
+"""Types that a replica shares with its driver: configuration, durable state, what is ready.
 
 Times are nanoseconds of a steady clock.
 """
@@ -13,41 +13,33 @@
 MAX_LEASE_SHARE = 0.8  # of `min_election_timeout_ns`, left as room for steady clocks of different rates
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class ReplicaConfig:
-    """Constants of a replica; the same for all replicas of a log but for `identity`."""
+    """Constants of a replica; the same for all replicas of a log but for `identity`.
+
+    Raises ValueError where they contradict each other.
+    """
 
     identity: str
     heartbeat_interval_ns: int = 100 * MILLISECOND
     min_election_timeout_ns: int = 400 * MILLISECOND
     max_election_timeout_ns: int = 800 * MILLISECOND
     lease_duration_ns: int = 300 * MILLISECOND
-    max_batch_bytes: int = 64 << 10  # of entries in one message; a longer entry goes in pieces
-    snapshot_after: int = 200
+    max_batch_bytes: int = 64 << 10  # of entries in one message; a longer entry goes in chunks
+    snapshot_after: int = 200  # entries after the last snapshot
     snapshot_after_bytes: int = 8 << 20  # of entries after the last snapshot
     max_uncommitted_entries: int = 256
     max_snapshot_bytes: int = 64 << 20  # that a member collects in memory
 
-    def __post_init__(self):
+    def __post_init__(self) -> None:
+        """Check that the times go together."""
         if not 0 < self.heartbeat_interval_ns < self.min_election_timeout_ns <= self.max_election_timeout_ns:
             raise ValueError("the heartbeat must be shorter than the election timeout")
         if self.lease_duration_ns > MAX_LEASE_SHARE * self.min_election_timeout_ns:
-            raise ValueError("the lease must be shorter than 0.8 of the least election timeout")
-
-
-class NotLeader(Exception):
-    """The replica does not lead; `leader` is who does, or None if that is not known."""
-
-    def __init__(self, leader: str | None):
-        super().__init__(f"not the leader; the leader is {leader or 'not known'}")
-        self.leader = leader
+            raise ValueError("the lease must be shorter than 0.8 of the shortest election timeout")
 
 
-class Busy(Exception):
-    """A bound on uncommitted entries is reached, a change of members is under way, or a transfer is."""
-
-
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class Members:
     """Who votes, and who only receives the log.
 
@@ -86,31 +78,36 @@
         )
 
     def final(self) -> "Members":
-        """The members after the change under way."""
+        """Give the members after the change under way."""
         return Members(self.voters, self.learners)
 
-    def record(self) -> MembersRecord:
-        """The same as a thrift struct."""
+    def to_record(self) -> MembersRecord:
+        """Make the thrift struct of these members."""
         return MembersRecord(
             voters=list(self.voters), learners=list(self.learners), outgoing=list(self.outgoing) or None
         )
 
     @classmethod
-    def of(cls, record: MembersRecord) -> "Members":
-        """The members in a thrift struct."""
+    def from_record(cls, record: MembersRecord) -> "Members":
+        """Make the members in a thrift struct."""
         return cls(tuple(record.voters), tuple(record.learners), tuple(record.outgoing or ()))
 
     def encode(self) -> bytes:
-        """The data of a MEMBERS entry."""
-        return encode_struct(self.record())
+        """Encode the data of a MEMBERS entry."""
+        return encode_struct(self.to_record())
 
     @classmethod
     def decode(cls, data: bytes) -> "Members":
-        """The members in the data of a MEMBERS entry; raises StructError."""
-        return cls.of(decode_struct(MembersRecord, data))
+        """Decode the data of a MEMBERS entry.
+
+        Raises:
+            StructError: the bytes are unreadable.
 
+        """
+        return cls.from_record(decode_struct(MembersRecord, data))
 
-@dataclass(frozen=True)
+
+@dataclass(frozen=True, slots=True)
 class Snapshot:
     """The state machine after the entry at `index`, of `term`, and the members as of then."""
 
@@ -120,7 +117,7 @@
     data: bytes
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class HardState:
     """What a replica must never forget besides its log. `members`: the initial ones of a bootstrapped log."""
 
@@ -130,7 +127,7 @@
     members: Members
 
 
-@dataclass
+@dataclass(slots=True)
 class DurableState:
     """All that a replica has on its disk. `recovered` is False while it may have forgotten votes."""
 
@@ -142,7 +139,7 @@
     recovered: bool = False
 
 
-@dataclass
+@dataclass(slots=True)
 class Ready:
     """What is to be done: store, send, apply.
 
@@ -166,14 +163,14 @@
 
 
 class ReadToken(NamedTuple):
-    """A linearizable read: of which term, confirmed by which round, at which index or later."""
+    """A linearizable read: of which term, confirmed by which heartbeat round, at which index or later."""
 
     term: int
     heartbeat_round: int
-    index: int
+    read_index: int
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class PeerStatus:
     """What a leader knows of another member."""
 
@@ -182,7 +179,7 @@
     last_reply_age: int | None
 
 
-@dataclass(frozen=True)
+@dataclass(frozen=True, slots=True)
 class ReplicaStatus:
     """A replica in figures, for logs and operators."""
 
--- a/hopsail/replication/storage.py
+++ b/hopsail/replication/storage.py
@@ -1,4 +1,4 @@
-"""Durable storage for the logs of several parts, in one folder.
+"""Durable storage for the logs of several shards, in one folder.
 
 Each group commit is one record of the current generation (see `generation.py`), or, if it is long, several
 that count when the last one is there (see `record_chunks.py`). When much of a generation is out of date, all
@@ -6,27 +6,28 @@
 
 After a loss of power, what was written after the last sync may be there, be missing or be torn. As each
 record is synced before the next, that can only be the last one, which is then dropped. A damaged record
-before others means that the disk has lost what it had acknowledged: its parts are then `corrupt`, and start
-with nothing.
+before others means that the disk has lost what it had acknowledged: its shards are then `corrupt`, and
+start with nothing.
 """
 
+import contextlib
 import os
 import re
 from collections.abc import Callable, Iterable
 
-from .record_chunks import Joiner, split, is_long
+from .errors import StorageError, StructError
 from .generation import SUFFIXES, Generation
+from .record_chunks import Joiner, is_long, split
 from .records import (
+    Section,
     ShardRecord,
     ShardState,
     ShardWrite,
-    Section,
     decode_group_commit,
     encode_group_commit,
     shard_record,
 )
 from .state import DurableState
-from .structs import StructError
 
 CURRENT = "current"
 CURRENT_NEW = "current.new"
@@ -38,31 +39,35 @@
 SKIPPED_COMPACTIONS = 32  # after one that has failed
 
 
-class StorageError(Exception):
-    """The disk refused a write or a sync; what was being written may or may not be there."""
-
-
 class Storage:
-    """The durable states of the parts of one process; calls block until the disk has answered."""
+    """The durable states of the shards of one process; calls block until the disk has answered."""
 
-    def __init__(self, folder: str, shard_names: Iterable[str]):
+    def __init__(self, folder: str, shard_names: Iterable[str]) -> None:
+        """Describe the storage in a folder; `open` makes one with what is in it."""
         self.folder = folder
         self.shard_names = tuple(shard_names)
         self.corrupt: set[str] = set()
         self.damaged_records = 0
         self.torn_records = 0
-        self.on_progress: Callable[[], object] = bool  # a long write is encoded, or a chunk of it synced
+        self.on_progress: Callable[[], object] = (
+            bool  # called when a long write is encoded, or a chunk synced
+        )
         self._states: dict[str, ShardState] = {}
         self._generation: Generation | None = None
         self._must_compact = False
-        self._compactions_skipped = 0  # are still to be, after one that failed
+        self._compactions_skipped = 0  # are still to be skipped, after one that failed
         self._generation_change_pending = (
             False  # the folder is to be synced, and old generations to be removed
         )
 
     @classmethod
     def open(cls, folder: str, shard_names: Iterable[str]) -> "Storage":
-        """Read what is in a folder, which is made if it is not there; raises StorageError."""
+        """Read what is in a folder, which is made if it is not there.
+
+        Raises:
+            StorageError: the disk refused it.
+
+        """
         storage = cls(folder, shard_names)
         try:
             os.makedirs(folder, exist_ok=True)
@@ -77,12 +82,12 @@
         return not self._states and not self.corrupt
 
     def load(self, shard: str) -> DurableState | None:
-        """The state of a part; None if nothing usable was stored (see `corrupt`)."""
+        """Load the state of a shard; None if nothing usable was stored (see `corrupt`)."""
         state = self._states.get(shard)
         return state.durable() if state else None
 
     def close(self) -> None:
-        """Give the descriptors back."""
+        """Close the files."""
         if self._generation:
             self._generation.close()
 
@@ -94,21 +99,21 @@
             return
         self._generation_change_pending = True
         self._generation = Generation(self.folder, number)
-        waiting: list[list[Section] | None] = []  # damaged, and dropped unless something good follows
+        unconfirmed: list[list[Section] | None] = []  # damaged, and dropped unless something good follows
         joiner = Joiner()
         for found in self._generation.read():
             was_between, value = joiner.is_between, joiner.add(found.value)
             if joiner.is_between:
                 continue
             if was_between and value is found.value:
-                waiting.append(None)  # what the chunks before it began has no end
+                unconfirmed.append(None)  # what the chunks before it began has no end
             sections = None if value is None else decode_group_commit(value)
-            waiting.append(sections)
+            unconfirmed.append(sections)
             if sections is not None and all(section.record for section in sections):
-                self._apply_records(waiting)
-                waiting = []
+                self._apply_records(unconfirmed)
+                unconfirmed = []
                 self._generation.sizes = found.sizes
-        self.torn_records = len(waiting) + joiner.is_between
+        self.torn_records = len(unconfirmed) + joiner.is_between
         for shard in self.corrupt:
             self._states.pop(shard, None)
         self._must_compact = bool(self.corrupt)
@@ -147,15 +152,21 @@
     # Writing.
 
     def write(self, batch: list[ShardWrite]) -> None:
-        """Store a group commit, synced when this returns; raises StorageError, and works on after it."""
+        """Store a group commit, synced when this returns. It can be called again after a failure.
+
+        Raises:
+            StorageError: the disk refused it, or entries are missing before those to store.
+
+        """
         records = [shard_record(write) for write in batch]
         try:
             for record in records:
                 self._states.get(record.shard, ShardState()).check(record)
-            if self._generation is None or self._must_compact:
-                self._start_generation()
-            self._finish_generation_change()
-            self._append(self._generation, records)
+            generation = self._generation
+            if generation is None or self._must_compact:
+                generation = self._start_generation()
+            self._finish_generation_change(generation)
+            self._append(generation, records)
         except (OSError, StructError) as error:
             raise StorageError(str(error)) from error
         for record in records:
@@ -168,43 +179,49 @@
         progressed()
         generation.append(split(value), progressed)
 
-    @property
-    def _garbage(self) -> int:
+    def _garbage_bytes(self, generation: Generation) -> int:
         """About how many bytes of the generation are out of date."""
-        sizes = self._generation.sizes
-        return sizes.data + sizes.index - sum(state.size for state in self._states.values())
+        sizes = generation.sizes
+        return sizes.data_bytes + sizes.index_bytes - sum(state.size for state in self._states.values())
 
     @property
     def is_wasteful(self) -> bool:
         """Whether a new generation is needed even while writes wait."""
-        return self._generation is not None and self._garbage > URGENT_GARBAGE_FACTOR * MAX_GARBAGE_BYTES
+        if self._generation is None:
+            return False
+        return self._garbage_bytes(self._generation) > URGENT_GARBAGE_FACTOR * MAX_GARBAGE_BYTES
 
     def compact_if_needed(self) -> bool:
-        """Write a new generation if the present one holds much that is out of date; whether it did."""
-        if self._generation is None:
+        """Write a new generation if the present one has much that is out of date; return whether it did.
+
+        Raises:
+            StorageError: the disk refused it; it is tried again after a number of calls.
+
+        """
+        generation = self._generation
+        if generation is None:
             return False
-        if self._garbage <= MAX_GARBAGE_BYTES and self._generation.sizes.serial <= MAX_RECORDS:
+        if self._garbage_bytes(generation) <= MAX_GARBAGE_BYTES and generation.sizes.serial <= MAX_RECORDS:
             return False
         if self._compactions_skipped:
             self._compactions_skipped -= 1
             return False
         try:
-            self._finish_generation_change()
-            self._start_generation()
-            self._finish_generation_change()
+            self._finish_generation_change(generation)
+            self._finish_generation_change(self._start_generation())
         except OSError as error:
             self._compactions_skipped = SKIPPED_COMPACTIONS
             raise StorageError(str(error)) from error
         return True
 
-    def _start_generation(self) -> None:
+    def _start_generation(self) -> Generation:
         """Write all that is live to new files, and make them current."""
         old = self._generation
         new = Generation(self.folder, self._free_number())
         try:
             new.clean()
             if self._states:
-                self._append(new, [state.record(shard) for shard, state in self._states.items()])
+                self._append(new, [state.to_record(shard) for shard, state in self._states.items()])
             self._make_current(new)
         except OSError:
             new.close()
@@ -224,6 +241,7 @@
         self._must_compact = False
         if old:
             old.close()
+        return new
 
     def _may_be_current(self, generation: Generation) -> bool:
         """Whether a start would read this generation, or that cannot be told."""
@@ -239,10 +257,8 @@
         """Give the room of an unfinished generation back at once, if the disk allows it."""
         name = Generation.name_of(generation.number)
         for suffix in SUFFIXES:
-            try:
+            with contextlib.suppress(OSError):
                 os.remove(self._path(name + suffix))
-            except OSError:
-                pass
 
     def _free_number(self) -> int:
         found = (GENERATION_FILE.match(name) for name in os.listdir(self.folder))
@@ -256,14 +272,14 @@
             os.fsync(file.fileno())
         os.rename(self._path(CURRENT_NEW), self._path(CURRENT))
 
-    def _finish_generation_change(self) -> None:
-        """Make the last change of generations last, and remove what is not current."""
+    def _finish_generation_change(self, current: Generation) -> None:
+        """Sync the last change of generations, and remove what is not current."""
         if not self._generation_change_pending:
             return
         self._sync_folder()
         for name in os.listdir(self.folder):
             found = GENERATION_FILE.match(name)
-            if (found and int(found[1]) != self._generation.number) or name == CURRENT_NEW:
+            if (found and int(found[1]) != current.number) or name == CURRENT_NEW:
                 os.remove(self._path(name))
         self._sync_folder()
         self._generation_change_pending = False
--- a/tests/controlplane_simulation.py
+++ b/tests/controlplane_simulation.py
@@ -15,7 +15,7 @@
 from hopsail.controlplane.shard import Shard
 from hopsail.net.counters import Counters
 from hopsail.replication.schedule import Schedule
-from hopsail.replication.simulation import Network, Node, Simulation, Violation
+from hopsail.replication.simulation import Network, Node, Simulation, ViolationError
 from hopsail.replication.state import MILLISECOND
 from hopsail.rpc.errors import Timeout
 from hopsail.rpc.structs import decode, encode
@@ -64,7 +64,7 @@
     def _applied(self, shard: Shard) -> None:
         self.published.append(shard.state.revision)
         if self.published[-1] < self.published[-2]:
-            raise Violation(f"{self.identity} goes back: {self.published[-2:]}")
+            raise ViolationError(f"{self.identity} goes back: {self.published[-2:]}")
 
     # The loop.
 
@@ -165,7 +165,7 @@
     def check_entry(self, index: int, command: Command) -> None:
         """The same entry everywhere."""
         if self.entries.setdefault(index, command.encode()) != command.encode():
-            raise Violation(f"two entries at {index}")
+            raise ViolationError(f"two entries at {index}")
 
     def _work(self, node: Node) -> None:
         process = self.process(node.identity)
@@ -266,7 +266,9 @@
         if result.status == 200:
             for other in self.acknowledged:
                 if other is not change and other.base == change.base:
-                    raise Violation(f"{change.revision} and {other.revision} both build on {change.base}")
+                    raise ViolationError(
+                        f"{change.revision} and {other.revision} both build on {change.base}"
+                    )
 
     def read(self, name: str) -> list[bytes | None]:
         """Reads at a process; what comes must hold all that was acknowledged before."""
@@ -295,7 +297,7 @@
         self.reads += 1
         configuration = json.loads(body) if body else {"Revision": 0}
         if configuration["Revision"] < must_have:
-            raise Violation(f"{configuration['Revision']} is read after {must_have} was acknowledged")
+            raise ViolationError(f"{configuration['Revision']} is read after {must_have} was acknowledged")
         self._check_content(configuration)
 
     def _check_content(self, configuration: dict) -> None:
@@ -303,9 +305,9 @@
         state = ConfigurationState()
         for change in self.chain(configuration["Revision"]):
             if state.apply(change.command).status != 200:
-                raise Violation(f"{change.revision} could not be taken")
+                raise ViolationError(f"{change.revision} could not be taken")
         if configuration["Revision"] and state.configuration != configuration:
-            raise Violation(f"{configuration['Revision']} is not what was sent")
+            raise ViolationError(f"{configuration['Revision']} is not what was sent")
 
     def chain(self, revision: int) -> list[Change]:
         """The changes that led to a revision, the first one first."""
@@ -327,12 +329,12 @@
         answers = {name: self.read_until_known(name) for name in simulation.nodes[leader].replica.members.all}
         bodies = set(answers.values())
         if len(bodies) != 1:
-            raise Violation(f"{answers} are read")
+            raise ViolationError(f"{answers} are read")
         (body,) = bodies
         taken = {change.revision for change in self.chain(json.loads(body)["Revision"] if body else 0)}
         for change in self.changes.values():
             if (change.result.status == 200) != (change.revision in taken):
-                raise Violation(f"{change.revision}: {change.result}, but taken: {sorted(taken)}")
+                raise ViolationError(f"{change.revision}: {change.result}, but taken: {sorted(taken)}")
 
 
 class OperatorSchedule(Schedule):
--- a/tests/feeds_simulation.py
+++ b/tests/feeds_simulation.py
@@ -19,7 +19,7 @@
 from hopsail.feed.messages import POLL
 from hopsail.feed.topics import DATA_PLANE_TOPICS, Topic
 from hopsail.hosts.instance import Address, Instance, Phase, encode
-from hopsail.replication.simulation import Node, Violation
+from hopsail.replication.simulation import Node, ViolationError
 from hopsail.replication.state import MILLISECOND
 
 CONTACT_MS = 3000
@@ -147,7 +147,7 @@
     def _taken(self) -> None:
         revision = self.view.table.revision
         if self.revisions and revision <= self.revisions[-1]:
-            raise Violation(f"{self.identity} goes from {self.revisions[-1]} to {revision}")
+            raise ViolationError(f"{self.identity} goes from {self.revisions[-1]} to {revision}")
         self.revisions.append(revision)
 
     def _tick(self) -> None:
--- a/tests/golden/test_golden_replication.py
+++ b/tests/golden/test_golden_replication.py
@@ -114,7 +114,7 @@
             entry_term=4,
             heartbeat_round=79,
             sent_at=5_000,
-            members=MEMBERS.record(),
+            members=MEMBERS.to_record(),
             data=b"state\0\xff" * 30,
         ),
         "snapshot, joint": InstallSnapshot(
@@ -123,7 +123,7 @@
             entry_term=4,
             heartbeat_round=79,
             sent_at=5_000,
-            members=JOINT.record(),
+            members=JOINT.to_record(),
             data=b"",
         ),
         "snapshot taken": InstallSnapshotReply(
--- a/tests/test_catching_up.py
+++ b/tests/replication/test_catching_up.py
@@ -1,7 +1,7 @@
 """Members that come back far behind: snapshots in pieces, on slow links, beside compaction and faults."""
 
 import pytest
-from linked_simulation import SECOND, LinkedSimulation
+from replication.linked_simulation import SECOND, LinkedSimulation
 
 from hopsail.replication import log as log_of_replicas
 from hopsail.replication import message_chunks
@@ -18,7 +18,7 @@
 )
 from hopsail.replication.replica import Replica
 from hopsail.replication.schedule import Weights, play_schedule
-from hopsail.replication.simulation import Violation
+from hopsail.replication.simulation import ViolationError
 from hopsail.replication.state import MILLISECOND
 
 SLOW = 5_000_000 // 8  # bytes a second
@@ -359,7 +359,7 @@
 
         try:
             simulation.run_until(writes, 2 * SECOND)
-        except Violation:
+        except ViolationError:
             break  # there were no more writes
         installs += any(one.snapshot_to_store for one in seen)
         for name in simulation.nodes if whom == "all" else [behind]:
@@ -486,7 +486,7 @@
     replica = simulation.nodes[member].replica
     last, before = replica.last_index, replica.commit_index
     replica.commit_index = before - 3  # as if it had not heard yet
-    record = replica.members.record()
+    record = replica.members.to_record()
     late = InstallSnapshot(
         term=replica.term,
         index=before - 1,
--- a/tests/test_replication_joint.py
+++ b/tests/replication/test_joint_consensus.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from hopsail.replication.errors import BusyError
 from hopsail.replication.log import RETAINED_ENTRIES, Log
 from hopsail.replication.messages import (
     AppendEntries,
@@ -11,24 +12,15 @@
     Entry,
     EntryKind,
     InstallSnapshot,
-    MembersRecord,
     RequestVote,
 )
 from hopsail.replication.progress import NEVER
 from hopsail.replication.records import ShardState, ShardWrite, SnapshotRecord, shard_record
 from hopsail.replication.replica import Replica
 from hopsail.replication.schedule import Weights, play_schedule
-from hopsail.replication.simulation import Simulation, Violation
-from hopsail.replication.state import (
-    MILLISECOND,
-    Busy,
-    DurableState,
-    Members,
-    Ready,
-    ReplicaConfig,
-    Snapshot,
-)
-from hopsail.replication.structs import Struct, decode_struct, encode_struct, specification
+from hopsail.replication.simulation import Simulation, ViolationError
+from hopsail.replication.state import MILLISECOND, DurableState, Members, Ready, ReplicaConfig, Snapshot
+from hopsail.replication.structs import Struct, decode_struct, encode_struct
 
 SWAPS = Weights(propose=14, members=16)
 WIPES = Weights(propose=14, read=0, wipe=10, freeze=0, isolate=6, heal=6, disk=0, power=0, members=10)
@@ -194,13 +186,13 @@
 
 def test_members_written_before_there_were_joint_ones_are_read():
     class EarlierRecord(Struct):
-        __slots__ = ("voters", "learners")
-        thrift_spec = specification(*(field[1:4] for field in MembersRecord.thrift_spec[1:3]))
+        voters: list[str]
+        learners: list[str]
 
-    earlier = encode_struct(EarlierRecord(["a", "b"], ["c"]))
+    earlier = encode_struct(EarlierRecord(voters=["a", "b"], learners=["c"]))
     assert Members.decode(earlier) == Members(("a", "b"), ("c",))
     assert earlier == Members(("a", "b"), ("c",)).encode()
-    assert decode_struct(EarlierRecord, earlier) == EarlierRecord(["a", "b"], ["c"])
+    assert decode_struct(EarlierRecord, earlier) == EarlierRecord(voters=["a", "b"], learners=["c"])
 
 
 def test_a_snapshot_taken_in_the_middle_of_a_change_keeps_both_sets():
@@ -250,7 +242,7 @@
     kept = tuple(name for name in replica.voters if name not in gone)
     simulation.propose_members(leader, (*kept, "r5", "r6"), ())
     assert replica.members == Members((*kept, "r5", "r6"), (), replica.members.outgoing)
-    with pytest.raises(Busy):
+    with pytest.raises(BusyError):
         simulation.propose_members(leader, kept, ())
     simulation.run(200 * MILLISECOND)
     assert agreed_members(simulation) == Members((*kept, "r5", "r6"))
@@ -277,7 +269,7 @@
     index = simulation.nodes[leader].replica.last_index
     simulation.run(1000 * MILLISECOND)
     if any(node.replica.commit_index >= index for node in simulation.nodes.values()):
-        raise Violation("one of the two sets has decided alone")
+        raise ViolationError("one of the two sets has decided alone")
     simulation.intercept = None
     simulation.check_survival()
     wait_until_agreed(simulation)
@@ -324,7 +316,7 @@
             cut_between(simulation, side, [name for name in simulation.nodes if name not in side])
             simulation.run(3000 * MILLISECOND)
             if set(side).intersection(simulation.checker.leaders.values()):
-                raise Violation(f"the {apart} voters have elected a leader alone")
+                raise ViolationError(f"the {apart} voters have elected a leader alone")
             simulation.intercept = None
             simulation.check_survival()
 
@@ -406,7 +398,7 @@
     simulation.crash(leader)
     simulation.run(3000 * MILLISECOND)
     if agreed_members(simulation) is None:
-        raise Violation("nobody finishes the change")
+        raise ViolationError("nobody finishes the change")
 
 
 def leader_that_is_swapped_out(factory):
@@ -415,9 +407,9 @@
     simulation.run(1500 * MILLISECOND)
     successor = simulation.settled_leader()
     if successor in (None, leader) or simulation.nodes[leader].replica.is_leader:
-        raise Violation("a leader that is no voter leads on")
+        raise ViolationError("a leader that is no voter leads on")
     if not acknowledged(simulation, successor):
-        raise Violation("nothing is acknowledged")
+        raise ViolationError("nothing is acknowledged")
 
 
 def leader_that_alone_holds_its_removal(factory):
@@ -435,7 +427,7 @@
     simulation.start("r3")
     simulation.run(3000 * MILLISECOND)
     if simulation.settled_leader() is None:
-        raise Violation("nobody is elected")
+        raise ViolationError("nobody is elected")
     simulation.check_survival()
 
 
@@ -467,7 +459,7 @@
     simulation.run(500 * MILLISECOND)
     assert acknowledged(simulation, leader)
     if replica.peer_match(gone) < simulation.nodes[gone].replica.commit_index:
-        raise Violation("the present incarnation is ignored")
+        raise ViolationError("the present incarnation is ignored")
     simulation.check_survival()
 
 
@@ -705,7 +697,7 @@
         1,
         "a",
         InstallSnapshot(
-            term=3, index=9, entry_term=2, heartbeat_round=1, sent_at=1, members=joint.record(), data=b"x"
+            term=3, index=9, entry_term=2, heartbeat_round=1, sent_at=1, members=joint.to_record(), data=b"x"
         ),
     )
     assert replica.members == joint
@@ -732,7 +724,7 @@
     "scenario, factory", [(scenario, factory) for scenario in SCENARIOS for factory in SCENARIOS[scenario]]
 )
 def test_broken_guard_is_found_by_scenario(scenario, factory):
-    with pytest.raises(Violation):
+    with pytest.raises(ViolationError):
         scenario(factory)
 
 
--- a/tests/test_pieces.py
+++ b/tests/replication/test_message_chunks.py
@@ -21,7 +21,7 @@
 
 def payload_of(count, seed=0, index=9):
     data = random.Random(seed).randbytes(count * CHUNK_BYTES - 7)
-    return EncodedMessage.of(index, 2, data)
+    return EncodedMessage.create(index, 2, data)
 
 
 def chunk_of(payload, offset, data, sent_at=0):
--- a/tests/test_replication.py
+++ b/tests/replication/test_replica.py
@@ -4,6 +4,7 @@
 
 import pytest
 
+from hopsail.replication.errors import BusyError, MessageError, NotLeaderError
 from hopsail.replication.messages import (
     MESSAGE_TYPES,
     AppendEntries,
@@ -14,7 +15,6 @@
     LeaveReply,
     MemberRequest,
     MembersRecord,
-    MessageError,
     MessageChunk,
     MessageChunkReply,
     RequestVote,
@@ -27,7 +27,7 @@
 )
 from hopsail.replication.replica import Replica
 from hopsail.replication.simulation import Simulation
-from hopsail.replication.state import MILLISECOND, Busy, DurableState, Members, NotLeader, ReplicaConfig
+from hopsail.replication.state import MILLISECOND, DurableState, Members, ReplicaConfig
 
 MESSAGES = [
     RequestVote(term=3, last_index=7, last_term=2, pre_vote=True, transfer=False),
@@ -154,7 +154,7 @@
 
 def test_followers_name_the_leader_and_refuse():
     simulation, leader, (follower, _) = settled()
-    with pytest.raises(NotLeader) as refused:
+    with pytest.raises(NotLeaderError) as refused:
         simulation.nodes[follower].replica.propose(simulation.now, b"value")
     assert refused.value.leader == leader.identity
 
@@ -164,7 +164,7 @@
     simulation.isolate(leader.identity)
     for number in range(leader.config.max_uncommitted_entries):
         leader.propose(simulation.now, b"%d" % number)
-    with pytest.raises(Busy):
+    with pytest.raises(BusyError):
         leader.propose(simulation.now, b"one more")
 
 
@@ -197,7 +197,7 @@
     spare = simulation.nodes["r3"].replica
     assert spare.recovering and spare.last_index == 0 and not leader.is_caught_up("r3")
     simulation.propose_members(leader.identity, leader.voters, ("r3",))
-    with pytest.raises(Busy):
+    with pytest.raises(BusyError):
         simulation.propose_members(leader.identity, leader.voters, ())
     simulation.run_until(lambda: leader.is_caught_up("r3"))
     assert not spare.recovering and leader.peer_match("r3") == leader.last_index
--- a/tests/test_replication_simulation.py
+++ b/tests/replication/test_replication_schedules.py
@@ -6,7 +6,7 @@
 from hopsail.replication.progress import NEVER
 from hopsail.replication.replica import Replica
 from hopsail.replication.schedule import Weights, play_schedule
-from hopsail.replication.simulation import Simulation, Violation
+from hopsail.replication.simulation import Simulation, ViolationError
 from hopsail.replication.state import MILLISECOND
 
 
@@ -76,7 +76,7 @@
     def read_ready(self, token):
         if not self.is_leader or token.term != self.term:
             return None
-        return self.applied_index >= token.index
+        return self.applied_index >= token.read_index
 
 
 class LeadsWithoutQuorum(Replica):
@@ -168,7 +168,7 @@
 )
 def test_broken_guard_is_found_by_schedules(factory, profile, steps):
     leases = not issubclass(factory, Timeless)
-    with pytest.raises(Violation):
+    with pytest.raises(ViolationError):
         for seed in range(150):
             play_schedule(seed, steps, PROFILES[profile], factory=factory, lease_reads=leases)
 
@@ -251,7 +251,7 @@
     simulation.start(wiped)
     simulation.run(3000 * MILLISECOND)
     if simulation.leader() not in (None, leader):
-        raise Violation("a replica leads by a forgotten vote")
+        raise ViolationError("a replica leads by a forgotten vote")
     simulation.check_survival()
 
 
@@ -303,7 +303,7 @@
         simulation.run(MILLISECOND)
         now_leading = simulation.leader()
         if now_leading not in (None, old) and simulation.nodes[old].replica.lease_valid(simulation.now):
-            raise Violation(f"{old} holds a lease while {now_leading} leads")
+            raise ViolationError(f"{old} holds a lease while {now_leading} leads")
 
 
 def lease_and_cut_off_follower(factory):
@@ -363,5 +363,5 @@
     "scenario, factory", [(scenario, factory) for scenario in SCENARIOS for factory in SCENARIOS[scenario]]
 )
 def test_broken_guard_is_found_by_scenario(scenario, factory):
-    with pytest.raises(Violation):
+    with pytest.raises(ViolationError):
         scenario(factory)
--- a/tests/test_replication_storage.py
+++ b/tests/replication/test_storage.py
@@ -9,11 +9,12 @@
 import pytest
 
 from hopsail.replication import record_chunks, generation, storage
+from hopsail.replication.errors import StorageError
 from hopsail.replication.disk_thread import DiskThread
 from hopsail.replication.messages import Entry, EntryKind
 from hopsail.replication.records import ShardWrite
 from hopsail.replication.state import HardState, Members, Ready, Snapshot
-from hopsail.replication.storage import Storage, StorageError
+from hopsail.replication.storage import Storage
 
 SHARDS = ("p0", "p1")
 MEMBERS = Members(("a", "b", "c"), ("d",))
@@ -412,7 +413,7 @@
     first = store._generation.sizes
     write(store, snapshot_to_store=LONG)
     data = next(tmp_path.glob("*.dat"))
-    place = -(-first.data // 512) * 512 + number * 1024 + 100
+    place = -(-first.data_bytes // 512) * 512 + number * 1024 + 100
     damaged = bytearray(data.read_bytes())
     damaged[place] ^= 1
     data.write_bytes(damaged)
--- a/tests/test_storage_power.py
+++ b/tests/replication/test_storage_power.py
@@ -4,13 +4,14 @@
 import os
 
 import pytest
-from power_model import PowerModel
+from replication.power_model import PowerModel
 
 from hopsail.replication import record_chunks, storage
+from hopsail.replication.errors import StorageError
 from hopsail.replication.messages import Entry, EntryKind
 from hopsail.replication.records import ShardWrite
 from hopsail.replication.state import HardState, Members, Ready, Snapshot
-from hopsail.replication.storage import Storage, StorageError
+from hopsail.replication.storage import Storage
 
 SHARDS = ("p0", "p1")
 MEMBERS = Members(("a", "b", "c"))
--- a/tests/simulation/disk.py
+++ b/tests/simulation/disk.py
@@ -5,9 +5,9 @@
 from collections import deque
 from random import Random
 
+from hopsail.replication.errors import StorageError
 from hopsail.replication.records import ShardState, decode_group_commit, encode_group_commit, shard_record
 from hopsail.replication.state import DurableState
-from hopsail.replication.storage import StorageError
 
 from .clock import MILLISECOND
 
--- a/tests/simulation/mutations.py
+++ b/tests/simulation/mutations.py
@@ -123,7 +123,7 @@
     def read_ready(self, token):
         if not self.is_leader or token.term != self.term:
             return None
-        return self.applied_index >= token.index
+        return self.applied_index >= token.read_index
 
     return read_ready
 
--- a/tests/test_control_simulation.py
+++ b/tests/test_control_simulation.py
@@ -151,7 +151,7 @@
     world = play(draw_thaw(1))
     machine = world.core[0]
     shard = machine.program.shards[0]
-    vote = RequestVoteReply(shard.replica.term, True, False)
+    vote = RequestVoteReply(term=shard.replica.term, granted=True, pre_vote=False)
     world.checker.sends(machine, shard, vote)  # it is a member
     shard.replica.identity = "10.0.0.99:7000"
     with pytest.raises(Violation) as raised:
--- a/tests/test_controlplane_cluster.py
+++ b/tests/test_controlplane_cluster.py
@@ -11,7 +11,7 @@
 from hopsail.controlplane.configuration_state import ConfigurationState
 from hopsail.controlplane.forwarding import ANSWER_TIMEOUT_NS
 from hopsail.replication.schedule import CALM, DEFAULT_WEIGHTS, ROUGH, Weights
-from hopsail.replication.simulation import Violation
+from hopsail.replication.simulation import ViolationError
 from hopsail.replication.state import MILLISECOND
 
 MEMBERS_CHANGE = Weights(members=6, wipe=1)
@@ -309,7 +309,7 @@
         return result
 
     monkeypatch.setattr(ConfigurationState, "apply", forgets)
-    with pytest.raises(Violation):
+    with pytest.raises(ViolationError):
         for seed in range(SCHEDULES):
             play(seed)
 
@@ -321,7 +321,7 @@
         return original(self, command._replace(base=self.revision))
 
     monkeypatch.setattr(ConfigurationState, "judge", judges)
-    with pytest.raises(Violation):
+    with pytest.raises(ViolationError):
         for seed in range(SCHEDULES):
             play(seed)
 
@@ -342,6 +342,6 @@
         return accepted
 
     monkeypatch.setattr(Shard, "propose", proposes)
-    with pytest.raises(Violation):
+    with pytest.raises(ViolationError):
         for seed in range(SCHEDULES):
             play(seed)
--- a/tests/test_controlplane_state.py
+++ b/tests/test_controlplane_state.py
@@ -464,7 +464,7 @@
 
 def entry(index: int, command, term: int = 1) -> Entry:
     data = command.encode() if isinstance(command, Command) else command
-    return Entry(term, index, int(EntryKind.DATA), data)
+    return Entry(term=term, index=index, kind=int(EntryKind.DATA), data=data)
 
 
 @pytest.mark.parametrize("data", MUTATIONS.values(), ids=MUTATIONS)
--- a/tests/test_controlplane_steps.py
+++ b/tests/test_controlplane_steps.py
@@ -175,7 +175,16 @@
     assert (driven.shard.state.revision, told, driven.shard.applied_index) == (0, [], 0)
     steps = 0
     while driven.turns:
-        heartbeat = AppendEntriesReply(1, True, 1, 0, steps, 0, 1, False)
+        heartbeat = AppendEntriesReply(
+            term=1,
+            success=True,
+            match=1,
+            hint=0,
+            heartbeat_round=steps,
+            sent_at=0,
+            incarnation=1,
+            recovering=False,
+        )
         driven.commit(messages=[("peer", heartbeat)])
         assert driven.sent[-1] is heartbeat
         assert len(driven.turns) == 1
@@ -304,7 +313,16 @@
 def test_a_large_snapshot_is_installed_in_steps_between_which_messages_leave():
     driven, steps = installing(), 0
     while driven.turns:
-        heartbeat = AppendEntriesReply(1, True, 1, 0, steps, 0, 1, False)
+        heartbeat = AppendEntriesReply(
+            term=1,
+            success=True,
+            match=1,
+            hint=0,
+            heartbeat_round=steps,
+            sent_at=0,
+            incarnation=1,
+            recovering=False,
+        )
         driven.commit(messages=[("peer", heartbeat)])
         assert driven.sent[-1] is heartbeat and len(driven.turns) == 1
         assert (driven.shard.state.configuration, driven.applied) == (configuration(1), [1])
--- a/tests/test_passed_on_commands.py
+++ b/tests/test_passed_on_commands.py
@@ -5,7 +5,7 @@
 
 import pytest
 from controlplane_simulation import ControlSimulation, SimulatedChannel
-from linked_simulation import FRAME_BYTES, SECOND
+from replication.linked_simulation import FRAME_BYTES, SECOND
 from test_controlplane_cluster import others
 from test_controlplane_processes import make_cluster  # noqa: F401
 from test_controlplane_processes import put as put_revision
