--- a/tests/test_dataplane_stopping.py
+++ b/tests/test_dataplane_stopping.py
@@ -561,6 +561,7 @@
 @pytest.mark.parametrize("stopping", [False, True])
 def test_a_signal_to_read_the_settings_again_cuts_nothing(stage, settings_file, text, stopping):
     stage.front.renew_seeds = lambda seeds: None
+    stage.front.replace_seeds = lambda seeds: None
     if stopping:
         stage.terminate()
     plane, before = stage.plane, stage.plane.settings
