--- a/hopsail/rpc/channel.py
+++ b/hopsail/rpc/channel.py
@@ -8,12 +8,28 @@
 from ..net.stream import dial
 from .connection import Connection
 from .counts import RpcCounts
-from .errors import CallError, Disconnected, Failed, FrameError, Overflow, Refused, Timeout
+from .errors import (
+    CallError,
+    CallFailedError,
+    CallOverflowError,
+    CallRefusedError,
+    CallTimeoutError,
+    DisconnectedError,
+    FrameError,
+)
 from .failure import NOT_RUN, Failure
 from .frames import MAX_FRAME, Kind, Message
 from .structs import Struct, decode, encode
 
-__all__ = ["CallError", "Channel", "Disconnected", "Failed", "Overflow", "Refused", "Timeout"]
+__all__ = [
+    "CallError",
+    "CallFailedError",
+    "CallOverflowError",
+    "CallRefusedError",
+    "CallTimeoutError",
+    "Channel",
+    "DisconnectedError",
+]
 
 MS = 1_000_000  # ns
 UP_WITHIN = 500 * MS
@@ -23,7 +39,7 @@
 MAX_UNSENT = 2 * MAX_FRAME  # bytes, beyond which no call is taken
 MAX_UNSENT_FOR_SEND = 4 * 1024 * 1024  # bytes, beyond which one-way messages are dropped
 LAST_SEQID = 2**31 - 1
-HEADER_ROOM = 256  # bytes of a frame that are not its body, at most
+MAX_HEADER_BYTES = 256  # bytes of a frame that are not its body, at most
 
 Done = Callable[[Any, CallError | None], None]
 
@@ -47,11 +63,12 @@
     def __init__(
         self, loop: Loop, address: tuple[str, int], fleet: str, counts: RpcCounts | None = None
     ) -> None:
+        """Makes no connection yet; `counts` may be shared with other channels and servers."""
         self.loop, self.address, self.fleet = loop, address, fleet
         self.counts = counts or RpcCounts()
         self._connection: Connection | None = None
         self._calls: dict[int, _Call] = {}
-        self._held_bytes = 0  # of calls that wait for a connection
+        self._pending_bytes = 0  # of calls that wait for a connection
         self._last_seqid = 0
         self._back_off = FIRST_BACK_OFF
         self._not_before = 0  # ns: no connection is made earlier
@@ -72,11 +89,11 @@
         While no connection can be made the call waits, until its timeout, for the next attempt."""
         body = encode(argument)
         if self._closed:
-            self.loop.soon(done, None, Refused("closed"))
+            self.loop.soon(done, None, CallRefusedError("closed"))
             return
         if self._is_full(len(body)):
             self.counts.overflows += 1
-            self.loop.soon(done, None, Overflow(method))
+            self.loop.soon(done, None, CallOverflowError(method))
             return
         call = _Call(self._next_seqid(), method, body, reply_class, done)
         call.made = self.loop.now()
@@ -85,7 +102,7 @@
         if self._connection is not None:
             self._write(call)
         else:
-            self._held_bytes += len(body)
+            self._pending_bytes += len(body)
             self._connect()
 
     def send(self, method: str, argument: Struct) -> None:
@@ -110,7 +127,7 @@
             self._dial_timer.cancel()
         if self._connection is not None:
             self._connection.close()
-        self._fail_all(Disconnected("closed"))
+        self._fail_all(DisconnectedError("closed"))
 
     def greeted(self, connection: Connection) -> None:
         """Called by the connection: the other side is of this fleet."""
@@ -129,7 +146,7 @@
             self.counts.failed_dials += 1
         self._delay()
         known_not_run = not connection.came_up or connection.mismatched
-        self._fail_all(Refused(reason) if known_not_run else Disconnected(reason))
+        self._fail_all(CallRefusedError(reason) if known_not_run else DisconnectedError(reason))
 
     def message(self, connection: Connection, message: Message) -> None:
         """Called by the connection: a reply has come."""
@@ -152,12 +169,12 @@
         if message.kind is Kind.REPLY:
             return decode(call.reply_class, message.body), None
         failure = decode(Failure, message.body)
-        kind = Refused if failure.type in NOT_RUN else Failed
+        kind = CallRefusedError if failure.type in NOT_RUN else CallFailedError
         return None, kind(failure.message)
 
     def _is_full(self, size: int) -> bool:
-        unsent = self._held_bytes if self._connection is None else len(self._connection.unsent)
-        too_long = size + HEADER_ROOM > MAX_FRAME
+        unsent = self._pending_bytes if self._connection is None else len(self._connection.unsent)
+        too_long = size + MAX_HEADER_BYTES > MAX_FRAME
         return too_long or len(self._calls) >= MAX_CALLS or unsent + size > MAX_UNSENT
 
     def _next_seqid(self) -> int:
@@ -193,16 +210,16 @@
         except OSError:
             self._fail_dial()
             return
-        self._connection = Connection(self.loop, sock, self.fleet, self, self.counts, dialing=True)
+        self._connection = Connection(self.loop, sock, self, dialing=True)
         self._up_timer = self.loop.at(self.loop.now() + UP_WITHIN, self._give_up)
-        self._held_bytes = 0
+        self._pending_bytes = 0
         for call in self._calls.values():
             self._write(call)
 
     def _fail_dial(self) -> None:
         self.counts.failed_dials += 1
         self._delay()
-        self._fail_all(Refused("no connection"))
+        self._fail_all(CallRefusedError("no connection"))
 
     def _delay(self) -> None:
         self._not_before = self.loop.now() + self._back_off
@@ -221,7 +238,7 @@
     def _time_out(self, call: _Call) -> None:
         self.counts.timed_out_calls += 1
         self._forget(call)
-        self.loop.soon(call.done, None, Timeout(call.method))
+        self.loop.soon(call.done, None, CallTimeoutError(call.method))
         connection = self._connection
         if connection is None or not connection.came_up or connection.last_received >= call.made:
             return
@@ -233,11 +250,11 @@
         del self._calls[call.seqid]
         call.timer.cancel()
         if self._connection is None:
-            self._held_bytes -= len(call.argument)
+            self._pending_bytes -= len(call.argument)
 
     def _fail_all(self, error: CallError) -> None:
         calls, self._calls = self._calls, {}
-        self._held_bytes = 0
+        self._pending_bytes = 0
         for call in calls.values():
             call.timer.cancel()
             self.loop.soon(call.done, None, error)
--- a/hopsail/rpc/connection.py
+++ b/hopsail/rpc/connection.py
@@ -12,11 +12,13 @@
 
 PROTOCOL_VERSION = 1
 HELLO = "hello"
-MAX_HELLO = 1024  # bytes of the first frame
-HELLO_WITHIN = 2_000_000_000  # ns for the other side's hello once the connection is up
-UNACKNOWLEDGED_MS = 2000  # what is sent must be acknowledged by then, or the system ends the connection
-PROBE_AFTER = 5  # seconds without traffic after which the system asks whether the other side is still there
-PROBE_EVERY = 2  # seconds
+MAX_HELLO_BYTES = 1024  # bytes of the first frame
+HELLO_TIMEOUT_NS = 2_000_000_000  # ns for the other side's hello once the connection is up
+MAX_UNACKNOWLEDGED_MS = 2000  # what is sent must be acknowledged by then, or the system ends the connection
+KEEPALIVE_IDLE_S = (
+    5  # seconds without traffic after which the system asks whether the other side is still there
+)
+KEEPALIVE_INTERVAL_S = 2  # seconds
 
 
 class Hello(Struct):
@@ -29,7 +31,10 @@
 
 
 class Owner(Protocol):
-    """Whom a connection tells what happens to it."""
+    """Whom a connection notifies of what happens to it; a client's channel or a server."""
+
+    fleet: str
+    counts: RpcCounts
 
     def greeted(self, connection: "Connection") -> None:
         """The other side's hello is right: messages follow."""
@@ -48,21 +53,20 @@
         self,
         loop: Loop,
         sock: socket.socket,
-        fleet: str,
         owner: Owner,
-        counts: RpcCounts,
         dialing: bool = False,
     ) -> None:
+        """Takes over the socket; `dialing` if it is still on its way to the other side."""
         watch_over(sock)
         super().__init__(loop, sock, dialing)
-        self.fleet, self.owner, self.counts = fleet, owner, counts
+        self.owner, self.fleet, self.counts = owner, owner.fleet, owner.counts
         self.is_greeted = False
         self.came_up = not dialing
         self.mismatched = False  # the other side is of another fleet or version
         self.last_received = 0  # ns
-        self._reader = FrameReader(MAX_HELLO)
+        self._reader = FrameReader(MAX_HELLO_BYTES)
         self._hello_timer = None
-        self.send(Message(HELLO, Kind.ONEWAY, 0, encode(Hello(fleet=fleet, version=PROTOCOL_VERSION))))
+        self.send(Message(HELLO, Kind.ONEWAY, 0, encode(Hello(fleet=self.fleet, version=PROTOCOL_VERSION))))
         if not dialing:
             self._await_hello()
 
@@ -100,9 +104,9 @@
         self.owner.lost(self)
 
     def _await_hello(self) -> None:
-        self._hello_timer = self.loop.at(self.loop.now() + HELLO_WITHIN, self._end_silent)
+        self._hello_timer = self.loop.at(self.loop.now() + HELLO_TIMEOUT_NS, self._time_out)
 
-    def _end_silent(self) -> None:
+    def _time_out(self) -> None:
         self._hello_timer = None
         self.counts.silent_peers += 1
         self.close()
@@ -138,7 +142,7 @@
 
 def watch_over(sock: socket.socket) -> None:
     """Lets the system end a connection whose other side says nothing, as behind a cut."""
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, UNACKNOWLEDGED_MS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, MAX_UNACKNOWLEDGED_MS)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, PROBE_AFTER)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, PROBE_EVERY)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
--- a/hopsail/rpc/errors.py
+++ b/hopsail/rpc/errors.py
@@ -11,21 +11,21 @@
     """A call that brought no reply. `str()` tells the reason."""
 
 
-class Timeout(CallError):
+class CallTimeoutError(CallError):
     """No reply within the call's time. The call may have run."""
 
 
-class Disconnected(CallError):
+class DisconnectedError(CallError):
     """The connection ended before the reply. The call may have run."""
 
 
-class Refused(CallError):
+class CallRefusedError(CallError):
     """The call is known not to have run: no connection came up, or the server does not take it."""
 
 
-class Failed(CallError):
+class CallFailedError(CallError):
     """The server's handler failed. The call may have run in part."""
 
 
-class Overflow(CallError):
+class CallOverflowError(CallError):
     """Not sent: the frame, the unsent bytes or the calls in flight would exceed their bound."""
--- a/hopsail/rpc/frames.py
+++ b/hopsail/rpc/frames.py
@@ -51,12 +51,12 @@
     """The message in a frame without its length; FrameError when there is none."""
     if len(frame) < OPENING.size + SEQUENCE.size:
         raise FrameError("shorter than a message header")
-    word, name_size = OPENING.unpack_from(frame)
+    version, name_size = OPENING.unpack_from(frame)
     name_end = OPENING.size + name_size
-    if word & VERSION_MASK != VERSION or name_size > MAX_METHOD or name_end + SEQUENCE.size > len(frame):
+    if version & VERSION_MASK != VERSION or name_size > MAX_METHOD or name_end + SEQUENCE.size > len(frame):
         raise FrameError("no message header")
     try:
-        kind = Kind(word & KIND_MASK)
+        kind = Kind(version & KIND_MASK)
         method = frame[OPENING.size : name_end].decode()
     except ValueError as error:
         raise FrameError(str(error)) from error
@@ -68,6 +68,7 @@
     """Cuts received bytes into frames."""
 
     def __init__(self, bound: int = MAX_FRAME) -> None:
+        """Takes frames of at most `bound` bytes."""
         self.bound = bound  # bytes of the longest frame that is taken
         self._received = bytearray()
 
--- a/hopsail/rpc/server.py
+++ b/hopsail/rpc/server.py
@@ -18,8 +18,8 @@
 MAX_CONNECTIONS = 2048
 MAX_CALLS = 1024  # in flight on one connection
 MAX_UNSENT = 32 * 1024 * 1024  # bytes on one connection, beyond which its other side is too slow
-ACCEPTED_AT_ONCE = 64
-SHORT_OF_SOCKETS = 100_000_000  # ns without accepting once descriptors or memory have run out
+MAX_ACCEPTS_PER_EVENT = 64
+ACCEPT_BACKOFF_NS = 100_000_000  # ns without accepting once descriptors or memory have run out
 
 
 class Peer(NamedTuple):
@@ -35,6 +35,7 @@
     __slots__ = ("_answered", "_callbacks", "_connection", "_seqid", "method")
 
     def __init__(self, connection: "_Caller | None", method: str, seqid: int) -> None:
+        """For a call on this connection, or a one-way message if None."""
         self._connection, self.method, self._seqid = connection, method, seqid
         self._answered = connection is None
         self._callbacks: list[Callable[[], None]] = []
@@ -81,7 +82,7 @@
     def __init__(self, server: "RpcServer", sock: socket.socket, peer: Peer) -> None:
         self.peer = peer
         self.calls: dict[int, Respond] = {}  # in flight, by sequence number
-        super().__init__(server.loop, sock, server.fleet, server, server.counts)
+        super().__init__(server.loop, sock, server)
 
     def answer(self, message: Message) -> None:
         self.calls.pop(message.seqid, None)
@@ -118,6 +119,7 @@
         max_connections: int = MAX_CONNECTIONS,
         counts: RpcCounts | None = None,
     ) -> None:
+        """Begins to listen; OSError when the address is taken."""
         self.loop, self.fleet, self.max_connections = loop, fleet, max_connections
         self.counts = counts or RpcCounts()
         self._methods: dict[str, _Method] = {}
@@ -195,12 +197,12 @@
             respond.fail(FailureKind.INTERNAL_ERROR, type(error).__name__)
 
     def _accept(self, _: int) -> None:
-        for _turn in range(ACCEPTED_AT_ONCE):
+        for _turn in range(MAX_ACCEPTS_PER_EVENT):
             try:
                 sock, address = self._listener.accept()
             except OSError as error:
                 if error.errno in SHORT:
-                    self._pause()
+                    self._stop_accepting()
                 return
             if len(self._connections) >= self.max_connections:
                 self.counts.excess_connections += 1
@@ -217,9 +219,9 @@
         if connection.open:
             self._connections.add(connection)
 
-    def _pause(self) -> None:
+    def _stop_accepting(self) -> None:
         self.loop.unwatch(self._listener)
-        self._resume_timer = self.loop.at(self.loop.now() + SHORT_OF_SOCKETS, self._resume)
+        self._resume_timer = self.loop.at(self.loop.now() + ACCEPT_BACKOFF_NS, self._resume)
 
     def _resume(self) -> None:
         self._resume_timer = None
--- a/hopsail/rpc/structs.py
+++ b/hopsail/rpc/structs.py
@@ -71,7 +71,7 @@
     return number, TType.DOUBLE, name, None, default
 
 
-def list_of(number: int, name: str, element: int, detail: Any = None) -> Field:
+def list_of(number: int, name: str, element: int, detail: object = None) -> Field:
     """A field of a list of plain elements: `element` is a TType, `detail` "UTF8" or "BINARY" of strings."""
     return number, TType.LIST, name, (element, detail, False), []
 
@@ -93,11 +93,13 @@
     thrift_spec: ClassVar[tuple[Field | None, ...]] = ()
     defaults: ClassVar[dict[str, Any]] = {}
 
-    def __init_subclass__(cls, **options: Any) -> None:
+    def __init_subclass__(cls, **options: object) -> None:
+        """Collects the defaults of the fields."""
         super().__init_subclass__(**options)
         cls.defaults = {field[2]: field[4] for field in cls.thrift_spec if field is not None}
 
-    def __init__(self, **fields: Any) -> None:
+    def __init__(self, **fields: object) -> None:
+        """Sets the named fields, the others to their defaults; TypeError for a name that is no field."""
         for name, default in self.defaults.items():
             if name in fields:
                 value = fields.pop(name)
@@ -108,10 +110,12 @@
             raise TypeError(f"{type(self).__name__} has no field {next(iter(fields))!r}")
 
     def __repr__(self) -> str:
+        """The type and all fields."""
         fields = ", ".join(f"{name}={getattr(self, name)!r}" for name in self.defaults)
         return f"{type(self).__name__}({fields})"
 
     def __eq__(self, other: object) -> bool:
+        """Whether the other is of this type and has the same fields."""
         if type(other) is not type(self):
             return NotImplemented
         return all(getattr(self, name) == getattr(other, name) for name in self.defaults)
--- a/tests/controlplane_simulation.py
+++ b/tests/controlplane_simulation.py
@@ -17,7 +17,7 @@
 from hopsail.replication.schedule import Schedule
 from hopsail.replication.simulation import Network, Node, Simulation, ViolationError
 from hopsail.replication.state import MILLISECOND
-from hopsail.rpc.errors import Timeout
+from hopsail.rpc.errors import CallTimeoutError
 from hopsail.rpc.structs import decode, encode
 
 OPERATOR_WAITS = 1000 * MILLISECOND  # until it sends a call again, elsewhere
@@ -133,7 +133,7 @@
             if (self.identity, self.process.identity) not in self.simulation.cuts:
                 self.process.when_awake(lambda: finish(reply, None))
 
-        self.process.at(self.simulation.now + timeout, lambda: finish(None, Timeout(method)))
+        self.process.at(self.simulation.now + timeout, lambda: finish(None, CallTimeoutError(method)))
         self._later(reach)
 
     def _later(self, act) -> None:
--- a/tests/feed/test_feed.py
+++ b/tests/feed/test_feed.py
@@ -14,7 +14,7 @@
 from hopsail.feed.publisher import Publisher
 from hopsail.net.loop import Loop
 from hopsail.rpc.channel import Channel
-from hopsail.rpc.errors import FrameError, Refused, Timeout
+from hopsail.rpc.errors import FrameError, CallRefusedError, CallTimeoutError
 from hopsail.rpc.server import RpcServer
 from hopsail.rpc.structs import decode, encode
 
@@ -688,15 +688,15 @@
         for _ in range(6):
             fake_loop.run(waits[-1] * MS if waits else 0)
             _, done = fake_channel.take()
-            done(None, Timeout("poll"))
+            done(None, CallTimeoutError("poll"))
             waits.append((fake_loop.timers[0][0] - fake_loop.now()) // MS)
         assert waits == [50, 100, 200, 400, 500, 500]
-        assert type(follower.last_error) is Timeout and follower.last_reply_at == 0
+        assert type(follower.last_error) is CallTimeoutError and follower.last_reply_at == 0
         fake_loop.run(500 * MS)
         fake_channel.take()[1](PollReply(incarnation=5, snapshot=True), None)
         assert follower.last_error is None
         fake_loop.run(20 * MS)
-        fake_channel.take()[1](None, Refused("poll"))
+        fake_channel.take()[1](None, CallRefusedError("poll"))
         assert fake_loop.timers[0][0] - fake_loop.now() == 50 * MS
 
     @pytest.mark.parametrize(
--- a/tests/simulation/doors.py
+++ b/tests/simulation/doors.py
@@ -6,7 +6,7 @@
 from itertools import count
 
 from hopsail.http.message import Request, Response
-from hopsail.rpc.errors import Disconnected, Timeout
+from hopsail.rpc.errors import DisconnectedError, CallTimeoutError
 from hopsail.rpc.structs import decode, encode
 
 from .clock import MILLISECOND
@@ -98,7 +98,9 @@
 
     def call(self, method: str, argument, reply_class, done, timeout: int) -> None:
         seqid, body = next(self._seqids), encode(argument)
-        timer = self.loop.at(self.loop.now() + timeout, lambda: self._finish(seqid, None, Timeout(method)))
+        timer = self.loop.at(
+            self.loop.now() + timeout, lambda: self._finish(seqid, None, CallTimeoutError(method))
+        )
         self._calls[seqid] = reply_class, done, timer
         self._send(method, body, seqid)
 
@@ -125,7 +127,7 @@
 
     def _lost(self, seqids: list[int]) -> None:
         for seqid in seqids:
-            self.loop.soon(self._finish, seqid, None, Disconnected("connection lost"))
+            self.loop.soon(self._finish, seqid, None, DisconnectedError("connection lost"))
 
     def _finish(self, seqid: int, reply, error) -> None:
         call = self._calls.pop(seqid, None)
--- a/tests/simulation/mutations.py
+++ b/tests/simulation/mutations.py
@@ -20,7 +20,7 @@
 from hopsail.hosts.view import HostView
 from hopsail.replication.replica import Replica
 from hopsail.replication.state import Members
-from hopsail.rpc.errors import Disconnected
+from hopsail.rpc.errors import DisconnectedError
 
 from .draw import (
     draw_election,
@@ -145,7 +145,7 @@
 
 def _refuses_when_a_call_ends(original):
     def replied(self, reply, error):
-        if isinstance(error, Disconnected):
+        if isinstance(error, DisconnectedError):
             self.report(Result(412))
         else:
             original(self, reply, error)
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -16,7 +16,14 @@
 from hopsail.rpc.channel import Channel
 from hopsail.rpc.connection import HELLO, PROTOCOL_VERSION, Hello
 from hopsail.rpc.counts import RpcCounts
-from hopsail.rpc.errors import Disconnected, Failed, FrameError, Overflow, Refused, Timeout
+from hopsail.rpc.errors import (
+    DisconnectedError,
+    CallFailedError,
+    FrameError,
+    CallOverflowError,
+    CallRefusedError,
+    CallTimeoutError,
+)
 from hopsail.rpc.frames import MAX_FRAME, FrameReader, Kind, Message, pack, unpack
 from hopsail.rpc.server import RpcServer
 from hopsail.rpc.structs import Struct, TType, decode, encode, spec
@@ -416,7 +423,7 @@
     def test_an_unknown_method_is_refused(self, loop, server, channel, outcomes):
         channel.call("nothing", Inner(), Inner, outcomes, SECOND)
         loop.until(lambda: outcomes.all)
-        assert outcomes.all == [Refused]
+        assert outcomes.all == [CallRefusedError]
         assert channel.connected and server.counts.unknown_methods == 1
 
     def test_a_failing_handler_fails_its_call_only(self, loop, server, channel, outcomes):
@@ -428,7 +435,7 @@
         loop.until(lambda: outcomes.all)
         channel.call("echo", Inner(name="x"), Inner, outcomes, SECOND)
         loop.until(lambda: len(outcomes) == 2)
-        assert outcomes.all == [Failed, Inner(name="x")]
+        assert outcomes.all == [CallFailedError, Inner(name="x")]
         assert server.counts.failed_handlers == 1 and channel.counts.connections == 1
 
     def test_a_failing_done_leaves_the_connection(self, loop, channel, outcomes):
@@ -459,8 +466,8 @@
         loop.rounds()
         loop.skip(SECOND)
         loop.until(lambda: other.all)
-        assert outcomes.all == [Inner(name="x"), Timeout]
-        assert other.all == [Disconnected]
+        assert outcomes.all == [Inner(name="x"), CallTimeoutError]
+        assert other.all == [DisconnectedError]
         assert not channel.connected and channel.counts.silent_peers == 1
 
     def test_no_reply_in_time_leaves_a_connection_that_brings_others(self, loop, server, channel, outcomes):
@@ -473,10 +480,10 @@
         loop.until(lambda: other.all)
         loop.skip(SECOND)
         loop.until(lambda: outcomes.all)
-        assert outcomes.all == [Timeout] and channel.connected
+        assert outcomes.all == [CallTimeoutError] and channel.connected
         held[0](Inner(name="late"))
         loop.until(lambda: channel.counts.late_replies)
-        assert outcomes.all == [Timeout]
+        assert outcomes.all == [CallTimeoutError]
 
     def test_closing_the_channel_ends_its_calls(self, loop, server, channel, outcomes):
         server.register("hold", Inner, lambda argument, respond, peer: None)
@@ -488,7 +495,7 @@
         loop.until(lambda: len(outcomes) == 2)
         loop.skip(2 * SECOND)
         loop.rounds()
-        assert outcomes.all == [Disconnected, Refused]
+        assert outcomes.all == [DisconnectedError, CallRefusedError]
 
     def test_a_caller_that_has_gone_is_told_of(self, loop, server, channel, outcomes):
         held, gone = [], []
@@ -517,7 +524,7 @@
         channel.call("echo", Inner(name="n" * MAX_FRAME), Inner, outcomes, SECOND)
         assert not outcomes.all
         loop.until(lambda: outcomes.all)
-        assert outcomes.all == [Overflow]
+        assert outcomes.all == [CallOverflowError]
 
     def test_too_many_calls_overflow(self, loop, channel, monkeypatch):
         monkeypatch.setattr(channel_module, "MAX_CALLS", 2)
@@ -525,7 +532,7 @@
         for outcomes in all_outcomes:
             channel.call("echo", Inner(), Inner, outcomes, SECOND)
         loop.until(lambda: all(outcomes.all for outcomes in all_outcomes))
-        assert [outcomes.all for outcomes in all_outcomes] == [[Inner()], [Inner()], [Overflow]]
+        assert [outcomes.all for outcomes in all_outcomes] == [[Inner()], [Inner()], [CallOverflowError]]
 
     def test_the_server_refuses_too_many_calls(self, loop, server, channel, monkeypatch):
         monkeypatch.setattr(server_module, "MAX_CALLS", 1)
@@ -534,7 +541,7 @@
         channel.call("hold", Inner(), Inner, first, SECOND)
         channel.call("hold", Inner(), Inner, second, SECOND)
         loop.until(lambda: second.all)
-        assert (first.all, second.all) == ([], [Refused])
+        assert (first.all, second.all) == ([], [CallRefusedError])
 
     def test_calls_in_flight_are_counted_but_for_one_method(self, loop, server, channel):
         held = []
@@ -551,7 +558,7 @@
         server.register("long", Inner, lambda argument, respond, peer: respond(Inner(name="n" * MAX_FRAME)))
         channel.call("long", Inner(), Inner, outcomes, SECOND)
         loop.until(lambda: outcomes.all)
-        assert outcomes.all == [Disconnected] and server.counts.overflows == 1
+        assert outcomes.all == [DisconnectedError] and server.counts.overflows == 1
 
     def test_one_way_messages_are_dropped_when_too_much_is_unsent(self, loop, raw, opened, monkeypatch):
         monkeypatch.setattr(channel_module, "MAX_UNSENT_FOR_SEND", 100_000)
@@ -571,7 +578,10 @@
         opened.append(stranger)
         stranger.call("echo", Inner(), Inner, outcomes, 10 * SECOND)
         loop.until(lambda: outcomes.all)
-        assert outcomes.all[0] in (Refused, Disconnected)  # whether it reads the hello before the end or not
+        assert outcomes.all[0] in (
+            CallRefusedError,
+            DisconnectedError,
+        )  # whether it reads the hello before the end or not
         assert server.counts.foreign_fleets == 1 and not handled
         assert not stranger.connected
 
@@ -581,7 +591,7 @@
         channel.call("echo", Inner(), Inner, outcomes, SECOND)
         raw.accept().sendall(hello_frame(fleet="green"))
         loop.until(lambda: outcomes.all)
-        assert outcomes.all == [Refused] and channel.counts.foreign_fleets == 1
+        assert outcomes.all == [CallRefusedError] and channel.counts.foreign_fleets == 1
 
     def test_an_other_version_is_dropped_and_counted(self, loop, server, opened):
         sock = socket.create_connection(server.address)
@@ -643,7 +653,7 @@
         channel.call("echo", Inner(), Inner, outcomes, SECOND)
         raw.accept().sendall(hello_frame() + pack(answer))
         loop.until(lambda: outcomes.all)
-        assert outcomes.all == [Disconnected] and channel.counts.malformed_frames == 1
+        assert outcomes.all == [DisconnectedError] and channel.counts.malformed_frames == 1
 
     def test_a_doubled_reply_is_left_out(self, loop, raw, opened, outcomes):
         channel = Channel(loop, raw.address, "blue")
@@ -684,7 +694,7 @@
         server.close()
         server.close()
         loop.until(lambda: outcomes.all)
-        assert outcomes.all == [Disconnected]
+        assert outcomes.all == [DisconnectedError]
 
     def test_a_server_that_comes_back_is_found(self, loop, server, channel, outcomes, opened):
         channel.call("echo", Inner(), Inner, outcomes, SECOND)
@@ -706,7 +716,7 @@
         channel.call("echo", Inner(), Inner, outcomes, 10 * SECOND)
         assert not outcomes.all
         loop.until(lambda: outcomes.all)
-        assert outcomes.all == [Refused] and channel.counts.failed_dials == 1
+        assert outcomes.all == [CallRefusedError] and channel.counts.failed_dials == 1
 
     def test_the_back_off_doubles_up_to_a_second(self, loop, opened, monkeypatch):
         dialed = []
@@ -729,7 +739,7 @@
                 loop.clock += 5 * MS
                 loop.round(0)
             loop.round(0)
-            assert outcomes.all == [Refused]
+            assert outcomes.all == [CallRefusedError]
         waits = [(b - a) // MS for a, b in zip(dialed, dialed[1:], strict=False)]
         assert waits == [50, 100, 200, 400, 800, 1000, 1000]
 
@@ -744,8 +754,8 @@
         channel.call("echo", Inner(), Inner, waiting, 1 * MS)
         loop.skip(2 * MS)
         loop.until(lambda: waiting.all)
-        assert waiting.all == [Timeout]
-        assert channel._held_bytes == 0
+        assert waiting.all == [CallTimeoutError]
+        assert channel._pending_bytes == 0
         failed = channel.counts.failed_dials
         loop.skip(SECOND)
         loop.rounds()
@@ -777,7 +787,7 @@
         loop.skip(499 * MS)
         loop.skip(1 * MS)
         loop.until(lambda: outcomes.all)
-        assert outcomes.all == [Refused] and channel.counts.failed_dials == 1
+        assert outcomes.all == [CallRefusedError] and channel.counts.failed_dials == 1
 
     def test_closing_during_the_back_off_leaves_nothing_behind(self, loop, opened, outcomes):
         channel = Channel(loop, closed_port(), "blue")
@@ -788,7 +798,7 @@
         channel.close()
         loop.skip(20 * SECOND)
         loop.rounds()
-        assert outcomes.all == [Refused, Disconnected]
+        assert outcomes.all == [CallRefusedError, DisconnectedError]
         assert channel.counts.failed_dials == 1
 
 
--- a/tests/test_rpc_callers.py
+++ b/tests/test_rpc_callers.py
@@ -14,7 +14,7 @@
     read_frames,
 )
 
-from hopsail.rpc.channel import Channel, Disconnected, Refused, Timeout
+from hopsail.rpc.channel import Channel, DisconnectedError, CallRefusedError, CallTimeoutError
 from hopsail.rpc.frames import Kind, Message, pack
 from hopsail.rpc.server import RpcServer
 from hopsail.rpc.structs import encode
@@ -72,7 +72,7 @@
     loop.until(lambda: keeping.all)
     loop.skip(SECOND)
     loop.until(lambda: first.all)
-    assert first.all == [Timeout] and channel.connected
+    assert first.all == [CallTimeoutError] and channel.connected
     second = called(channel)
     (number_of_second,) = [message.seqid for message in read_frames(loop, sock, 1)]
     sock.sendall(reply(number, "late") * 2)
@@ -80,7 +80,7 @@
     assert not second.all
     sock.sendall(reply(number_of_second, "right"))
     loop.until(lambda: second.all)
-    assert second.all == [Inner(name="right")] and first.all == [Timeout]
+    assert second.all == [Inner(name="right")] and first.all == [CallTimeoutError]
 
 
 @pytest.mark.parametrize("greeted", [True, False])
@@ -97,7 +97,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
     sock.close()
     loop.until(lambda: outcomes.all)
-    assert outcomes.all == [Disconnected]
+    assert outcomes.all == [DisconnectedError]
     loop.skip(2 * SECOND)
     later = called(channel, "later")
     again = raw.accept()
@@ -105,7 +105,7 @@
     assert message.body == encode(Inner(name="later"))
     again.sendall(hello_frame() + reply(message.seqid, "later"))
     loop.until(lambda: later.all)
-    assert outcomes.all == [Disconnected] and later.all == [Inner(name="later")]
+    assert outcomes.all == [DisconnectedError] and later.all == [Inner(name="later")]
 
 
 def test_a_reply_to_a_call_of_an_earlier_connection_is_left_out(loop, raw, channel):
@@ -150,7 +150,7 @@
     opened.append(channel)
     outcomes = called(channel)
     loop.until(lambda: outcomes.all)
-    assert outcomes.all == [Refused]
+    assert outcomes.all == [CallRefusedError]
     loop.skip(2 * SECOND)
     server = RpcServer(loop, address, "blue")
     opened.append(server)
@@ -182,7 +182,7 @@
     assert not outcomes.all and back.counts.late_replies == 0
     held[1][1](Inner(name="of the second"))
     loop.until(lambda: outcomes.all)
-    assert outcomes.all == [Inner(name="of the second")] and left.all == [Disconnected]
+    assert outcomes.all == [Inner(name="of the second")] and left.all == [DisconnectedError]
 
 
 def test_a_number_that_is_in_use_ends_a_connection(loop, opened):
@@ -228,7 +228,7 @@
         loop.rounds()
     loop.skip(SECOND)
     loop.until(lambda: second.all)
-    assert second.all == [Timeout]
+    assert second.all == [CallTimeoutError]
     assert channel._connection is connection and channel.counts.silent_peers == 0
 
 
