--- a/hopsail/controlplane/commands.py
+++ b/hopsail/controlplane/commands.py
@@ -4,6 +4,8 @@
 from enum import IntEnum
 from typing import NamedTuple
 
+from ..configuration.codes import ResultCode
+
 
 class CommandKind(IntEnum):
     """What a log entry asks of a shard's state."""
@@ -20,12 +22,13 @@
 
     kind: CommandKind
     base: int
-    subject: str  # model, or the duty's service
-    number: int  # revision named, or the fence given back
+    subject: str  # model, or the singleton role's service
+    number: int  # revision named, or the fencing token given back
     owner: str
     body: bytes  # the operator's bytes
 
     def encode(self) -> bytes:
+        """The bytes of a log entry: a line of JSON, then the body."""
         head = json.dumps([int(self.kind), self.base, self.subject, self.number, self.owner])
         return head.encode() + b"\n" + self.body
 
@@ -45,9 +48,16 @@
     item: str = ""
     value: int = 0
 
+    @classmethod
+    def rejection(cls, code: ResultCode, item: str = "", value: int = 0) -> "Result":
+        """The result of what is rejected with a result code; `value` is the revision in force, if known."""
+        return cls(code.status or 400, int(code), item, value)
+
     def encode(self) -> bytes:
+        """The bytes for a peer, as JSON."""
         return json.dumps(list(self)).encode()
 
 
 def decode_result(data: bytes) -> Result:
+    """The result that a peer has encoded; ValueError or TypeError when it is none."""
     return Result(*json.loads(data))
--- a/hopsail/controlplane/configuration_state.py
+++ b/hopsail/controlplane/configuration_state.py
@@ -17,11 +17,11 @@
 from ..configuration.configuration_index import ConfigurationIndex
 from ..configuration.types import Configuration, Patch
 from .commands import Command, CommandKind, Result
-from .compaction import json_encode_steps, json_decode_steps
+from .compaction import json_decode_steps, json_encode_steps
 
 MAX_DIGESTS = 4096  # changes whose bytes' digests are remembered, for calls that are sent again
 MIN_LARGE_BODY_BYTES = 64 << 10  # of a body whose reading is a step of its own
-OK, PRECONDITION_FAILED, UNAVAILABLE = 200, 412, 503
+OK = 200
 ESCAPED_SURROGATE = re.compile(rb"\\u[dD][89a-fA-F]")  # alone it is no text that the feed could carry
 
 Verdict = tuple[Result, Configuration | Patch | None]
@@ -81,9 +81,9 @@
         if digest in self.taken:
             return Result(OK, value=self.taken[digest]), None
         if command.base < self.forgotten:
-            return Result(UNAVAILABLE, int(ResultCode.CONTROL_FORGOTTEN), value=base), None
+            return Result.rejection(ResultCode.CONTROL_FORGOTTEN, value=base), None
         if command.base != base:
-            return Result(PRECONDITION_FAILED, int(ResultCode.REVISION_MISMATCH), value=base), None
+            return Result.rejection(ResultCode.REVISION_MISMATCH, value=base), None
         judged = self._judged
         if judged is None or judged.digest != digest:
             content = yield from self._judging_content(command)
@@ -101,9 +101,9 @@
             else:
                 content, index = (yield from self._checked_patch(command.body)), None
         except ConfigurationError as error:
-            return Result(error.status, int(error.code), error.item), None, None
+            return Result.rejection(error.code, error.item), None, None
         except ArithmeticError:  # whole numbers beyond what can be weighed
-            return Result(400, int(ResultCode.WRONG_TYPE), "Routes"), None, None
+            return Result.rejection(ResultCode.WRONG_TYPE, "Routes"), None, None
         return Result(OK, value=content["Revision"]), content, index
 
     def _checked_configuration(self, body: bytes) -> Generator[None, None, Configuration]:
--- a/hopsail/controlplane/decisions.py
+++ b/hopsail/controlplane/decisions.py
@@ -8,13 +8,16 @@
 process without a majority tells nothing."""
 
 from collections.abc import Callable, Generator
-from typing import Any
+from typing import Protocol
 
 from ..configuration.codes import ResultCode
 from ..configuration.items import canonical
+from ..net.counters import Counters
+from ..net.loop import Loop
 from ..replication.state import ReadToken
-from .forwarding import CALL_TIMEOUT_NS, ConfigurationRead, Submission
+from ..rpc.channel import Channel
 from .commands import Command, Result, decode_command
+from .forwarding import CALL_TIMEOUT_NS, ConfigurationRead, Submission
 from .messages import CommandCall, CommandReply, ReadCall, ReadReply
 from .shard import Done, Shard
 from .shards import CONFIGURATION_SHARD
@@ -23,15 +26,30 @@
 STEP_INTERVAL_MS = 1  # between the steps of a judgement
 
 
-class Decisions:
-    """What a control process does with commands and reads, its own and those of other processes.
-
-    Mixed into the process, which has `shards`, `loop`, `after`, `counters` and the channels to the others."""
+class ControlProcess(Protocol):
+    """What decisions need of the process that takes the calls."""
 
+    identity: str
+    loop: Loop
+    counters: Counters
     shards: list[Shard]
-    loop: Any
-    counters: Any
-    after: Callable[[float, Callable[[], None]], object]
+
+    def after(self, milliseconds: float, act: Callable[[], None]) -> object:
+        """Calls back once, so many ms from now."""
+
+    def any_other(self) -> str | None:
+        """Another control process that is alive."""
+
+    def command_channel(self, identity: str) -> Channel:
+        """The connection for operators' calls to another control process."""
+
+
+class Decisions:
+    """What a control process does with commands and reads, its own and those of other processes."""
+
+    def __init__(self, process: ControlProcess) -> None:
+        """The process's `shards` may be set later, before the first call."""
+        self.process = process
 
     def submit(self, number: int, command: Command, done: Done) -> None:
         """Has the shard's leader carry the command out, wherever it is; `done` is called once."""
@@ -39,13 +57,13 @@
 
     def decide(self, number: int, command: Command, done: Done) -> bool:
         """Carries the command out if this process leads; False when it does not."""
-        shard = self.shards[number]
+        shard = self.process.shards[number]
         if not shard.leads:
             return False
         if number == CONFIGURATION_SHARD:
             self._decide_change(shard, command, done)
             return True
-        return shard.propose(self.loop.now(), command, done)
+        return shard.propose(self.process.loop.now(), command, done)
 
     def _decide_change(self, shard: Shard, command: Command, done: Done) -> None:
         """Decides a change; one that comes again meanwhile waits, so that it is in the log once."""
@@ -56,11 +74,11 @@
 
         def decided(result: Result | None) -> None:
             for act in shard.deciding.pop(command):
-                self.loop.soon(act)
+                self.process.loop.soon(act)
             done(result)
 
         shard.deciding[command] = []
-        Decision(self, shard, command, decided).begin()
+        Decision(self.process, shard, command, decided).begin()
 
     def read_configuration(self, done: Callable[[bytes | None], None]) -> None:
         """The newest configuration, confirmed by a majority."""
@@ -68,7 +86,7 @@
 
     def read_here(self, done: Callable[[bytes | None], None]) -> bool:
         """Reads if this process leads shard 0; False when it does not."""
-        shard = self.shards[CONFIGURATION_SHARD]
+        shard = self.process.shards[CONFIGURATION_SHARD]
         if not shard.leads:
             return False
 
@@ -79,12 +97,16 @@
             configuration = shard.state.configuration
             done(canonical(configuration) if configuration is not None else b"")
 
-        Confirmation(self, shard, confirmed).begin()
+        Confirmation(self.process, shard, confirmed).begin()
         return True
 
     # Calls of other control processes.
 
-    def _command(self, argument: CommandCall, respond, peer) -> None:
+    def answer_command(
+        self, argument: CommandCall, respond: Callable[[CommandReply], None], peer: object
+    ) -> None:
+        """Another process passes a command on."""
+
         def decided(result: Result | None) -> None:
             if result is None:
                 respond(CommandReply(decided=False, result=b""))
@@ -94,13 +116,17 @@
         try:
             command = decode_command(argument.command)
         except (ValueError, TypeError):
-            self.counters.add("commands.unreadable")
-            decided(Result(400, int(ResultCode.CONTROL_UNREADABLE)))
+            self.process.counters.add("commands.unreadable")
+            decided(Result.rejection(ResultCode.CONTROL_UNREADABLE))
             return
-        if not 0 <= argument.shard < len(self.shards) or not self.decide(argument.shard, command, decided):
+        if not 0 <= argument.shard < len(self.process.shards) or not self.decide(
+            argument.shard, command, decided
+        ):
             decided(None)
 
-    def _read(self, argument: ReadCall, respond, peer) -> None:
+    def answer_read(self, argument: ReadCall, respond: Callable[[ReadReply], None], peer: object) -> None:
+        """Another process passes a read on."""
+
         def answer(body: bytes | None) -> None:
             respond(ReadReply(decided=body is not None, body=body or b""))
 
@@ -111,7 +137,7 @@
 class Confirmation:
     """Tells once whether this process still led the shard after the call, with the state up to date."""
 
-    def __init__(self, process: Decisions, shard: Shard, done: Callable[[bool], None]):
+    def __init__(self, process: ControlProcess, shard: Shard, done: Callable[[bool], None]):
         self.process, self.shard, self.done = process, shard, done
         self.until = process.loop.now() + CALL_TIMEOUT_NS
         self.token: ReadToken | None = None
@@ -138,7 +164,7 @@
     One that can be taken goes into the log, where its entry decides. Any other verdict is told once it holds
     on a state that is confirmed. `done(None)`: it is not known what becomes of the change."""
 
-    def __init__(self, process: Decisions, shard: Shard, command: Command, done: Done):
+    def __init__(self, process: ControlProcess, shard: Shard, command: Command, done: Done):
         self.process, self.shard, self.command, self.done = process, shard, command, done
         self.until = process.loop.now() + CALL_TIMEOUT_NS
         self.steps: Generator | None = None
--- a/hopsail/controlplane/forwarding.py
+++ b/hopsail/controlplane/forwarding.py
@@ -14,29 +14,29 @@
 class RetriedCall:
     """Asks this process or the leader, again and again until something is known or the time is over."""
 
-    def __init__(self, plane, done):
-        self.plane, self.done = plane, done
-        self.until = plane.loop.now() + ANSWER_TIMEOUT_NS
-        self.timer = plane.loop.at(self.until, lambda: self.finish(None))
+    def __init__(self, decisions, done):
+        self.decisions, self.process, self.done = decisions, decisions.process, done
+        self.until = self.process.loop.now() + ANSWER_TIMEOUT_NS
+        self.timer = self.process.loop.at(self.until, lambda: self.finish(None))
 
     number = CONFIGURATION_SHARD
 
     def attempt(self) -> None:
         if self.done is None:
             return
-        if self.plane.loop.now() >= self.until:  # frozen meanwhile: whoever asked has moved on
+        if self.process.loop.now() >= self.until:  # frozen meanwhile: whoever asked has moved on
             self.finish(None)
             return
         if self.attempt_here():
             return
-        replica = self.plane.shards[self.number].replica
+        replica = self.process.shards[self.number].replica
         leader = replica.leader
-        if leader is None and self.plane.identity not in replica.members.all:
-            leader = self.plane.any_other()  # no member hears of a leader, but others do
-        if leader is None or leader == self.plane.identity:
+        if leader is None and self.process.identity not in replica.members.all:
+            leader = self.process.any_other()  # no member hears of a leader, but others do
+        if leader is None or leader == self.process.identity:
             self.retry_later()
         else:
-            self.forward(self.plane.command_channel(leader), max(1, self.until - self.plane.loop.now()))
+            self.forward(self.process.command_channel(leader), max(1, self.until - self.process.loop.now()))
 
     def attempt_here(self) -> bool:
         raise NotImplementedError
@@ -45,7 +45,7 @@
         raise NotImplementedError
 
     def retry_later(self) -> None:
-        self.plane.after(RETRY_INTERVAL_MS, self.attempt)
+        self.process.after(RETRY_INTERVAL_MS, self.attempt)
 
     def report(self, answer) -> None:
         """None: not known yet."""
@@ -64,12 +64,12 @@
 class Submission(RetriedCall):
     """A command on its way; sent again it does no harm, as each shard knows what it has taken."""
 
-    def __init__(self, plane, number: int, command: Command, done):
-        super().__init__(plane, done)
+    def __init__(self, decisions, number: int, command: Command, done):
+        super().__init__(decisions, done)
         self.number, self.command = number, command
 
     def attempt_here(self) -> bool:
-        return self.plane.decide(self.number, self.command, self.report)
+        return self.decisions.decide(self.number, self.command, self.report)
 
     def forward(self, channel: Channel, timeout: int) -> None:
         call = CommandCall(shard=self.number, command=self.command.encode())
@@ -83,7 +83,7 @@
     """A read of the configuration on its way."""
 
     def attempt_here(self) -> bool:
-        return self.plane.read_here(self.report)
+        return self.decisions.read_here(self.report)
 
     def forward(self, channel: Channel, timeout: int) -> None:
         call = ReadCall(shard=self.number)
--- a/hopsail/controlplane/operator.py
+++ b/hopsail/controlplane/operator.py
@@ -48,9 +48,9 @@
         elif call == f"POST {VERSION_PATH}":
             self._name_revision(request, exchange)
         elif request.path in (CONFIGURATION_PATH, VERSION_PATH):
-            self._answer(exchange, _failure(ResultCode.CONTROL_NO_METHOD, request.method))
+            self._answer(exchange, Result.rejection(ResultCode.CONTROL_NO_METHOD, request.method))
         else:
-            self._answer(exchange, _failure(ResultCode.CONTROL_NO_PATH, request.path))
+            self._answer(exchange, Result.rejection(ResultCode.CONTROL_NO_PATH, request.path))
 
     def refuse(self, exchange: Exchange) -> None:
         """Answers a call that can't be carried out before this process ends."""
@@ -62,7 +62,7 @@
             if len(request.body) <= MAX_PARSED_HERE_BYTES:
                 parse(request.body)  # what can't be read is refused here, whoever leads
         except ConfigurationError as error:
-            self._answer(exchange, Result(error.status, int(error.code), error.item))
+            self._answer(exchange, Result.rejection(error.code, error.item))
             return
         command = Command(kind, base, "", 0, "", request.body)
         self.control.submit(CONFIGURATION_SHARD, command, lambda result: self._answer(exchange, result))
@@ -72,10 +72,10 @@
             tree = json.loads(request.body)
             model, revision = tree["Model"], tree["Revision"]
         except (ValueError, KeyError, TypeError, RecursionError):
-            self._answer(exchange, _failure(ResultCode.CONTROL_UNREADABLE, "body"))
+            self._answer(exchange, Result.rejection(ResultCode.CONTROL_UNREADABLE, "body"))
             return
         if not _is_name(model) or type(revision) is not int or revision < 1:
-            self._answer(exchange, _failure(ResultCode.CONTROL_UNREADABLE, "Revision"))
+            self._answer(exchange, Result.rejection(ResultCode.CONTROL_UNREADABLE, "Revision"))
             return
         command = Command(CommandKind.NAME_REVISION, 0, model, revision, "", b"")
         shard = shard_of_service(self.control.service_of_model(model))
@@ -85,13 +85,13 @@
         if body is None:
             self._answer(exchange, None)
         elif not body:
-            self._answer(exchange, _failure(ResultCode.NO_CONFIGURATION, ""))
+            self._answer(exchange, Result.rejection(ResultCode.NO_CONFIGURATION, ""))
         else:
             exchange.respond(200, body, [JSON_TYPE])
 
     def _answer(self, exchange: Exchange, result: Result | None) -> None:
         if result is None:
-            result = _failure(ResultCode.CONTROL_NO_QUORUM, "")
+            result = Result.rejection(ResultCode.CONTROL_NO_QUORUM, "")
         self.counters.add(f"operator.answers.{result.status}")
         headers = [JSON_TYPE]
         if result.status == 503:
@@ -116,10 +116,6 @@
     )
 
 
-def _failure(code: ResultCode, item: str) -> Result:
-    return Result(code.status or 400, int(code), item)
-
-
 def _body(result: Result) -> bytes:
     if result.status == 200:
         return json.dumps({"Revision": result.value}).encode()
--- a/hopsail/controlplane/plane.py
+++ b/hopsail/controlplane/plane.py
@@ -1,5 +1,6 @@
 """The control plane's process: shards of the control state, the operator's calls, the feed."""
 
+from collections.abc import Callable
 from random import Random
 
 from ..configuration.required_settings import CONTROL_PLANE_SETTINGS
@@ -15,25 +16,28 @@
 from ..process import FLEET, Program
 from ..rpc.channel import Channel
 from ..rpc.server import RpcServer
+from .commands import Command
 from .configuration_feed import ConfigurationFeed
 from .contact import CONFIRM, ConfirmCall
 from .decisions import Decisions
 from .feeds import ROLE, Feeds
-from .prefix_cache_reader import PrefixCacheReader
 from .messages import (
     COMMAND,
-    READ as READ_CALL,
     REPLICATE,
     CommandCall,
     ReadCall,
     ReplicaMessage,
 )
+from .messages import (
+    READ as READ_CALL,
+)
 from .operator import OperatorCalls
-from .shard import Shard
-from .shards import CONFIGURATION_SHARD
 from .platform_list import PlatformList
+from .prefix_cache_reader import PrefixCacheReader
 from .replicas import Replicas
 from .rollouts import Rollouts
+from .shard import Done, Shard
+from .shards import CONFIGURATION_SHARD
 from .stopping import Ending
 from .voters import Voters
 
@@ -48,7 +52,7 @@
 VOTERS_TICK_MS = 100
 
 
-class ControlPlane(Program, Decisions):
+class ControlPlane(Program):
     """One control process."""
 
     needed_settings = CONTROL_PLANE_SETTINGS
@@ -68,6 +72,7 @@
             lambda: self.shards[CONFIGURATION_SHARD].state,
             self._configuration_fed,
         )
+        self.decisions = Decisions(self)
         self.ending: Ending | None = None
 
     # Start and stop.
@@ -79,8 +84,8 @@
         self.feeds = self._feeds()
         self.rpc = RpcServer(self.loop, (settings.ip, settings.port_first), FLEET)
         self.rpc.register(REPLICATE, ReplicaMessage, self.replicas.receive)
-        self.rpc.register(COMMAND, CommandCall, self._command)
-        self.rpc.register(READ_CALL, ReadCall, self._read)
+        self.rpc.register(COMMAND, CommandCall, self.decisions.answer_command)
+        self.rpc.register(READ_CALL, ReadCall, self.decisions.answer_read)
         self.rpc.register(POLL, PollRequest, self.feeds.poll)
         self.rpc.register(CONFIRM, ConfirmCall, self.feeds.contact.answer)
         self.operator = OperatorCalls(self, self.counters)
@@ -125,6 +130,16 @@
         figures["feed.entries"] = len(self.journal)
         return figures
 
+    # Operators' calls.
+
+    def submit(self, number: int, command: Command, done: Done) -> None:
+        """Has the shard's leader carry the command out, wherever it is; `done` is called once."""
+        self.decisions.submit(number, command, done)
+
+    def read_configuration(self, done: Callable[[bytes | None], None]) -> None:
+        """The newest configuration, confirmed by a majority."""
+        self.decisions.read_configuration(done)
+
     # Time.
 
     def _tick(self) -> None:
--- a/hopsail/controlplane/prefix_cache_reader.py
+++ b/hopsail/controlplane/prefix_cache_reader.py
@@ -5,14 +5,23 @@
 one the time of a move that finds nothing."""
 
 import json
-from typing import NamedTuple
+from collections.abc import Callable
+from typing import NamedTuple, Protocol
 
+from ..configuration.process import ProcessSettings
+from ..configuration.route_table import RouteTable
 from ..event_log import get_logger
+from ..feed.journal import Journal
 from ..feed.store_status import StoreStatus, encode_store
 from ..feed.topics import Topic
 from ..hosts.instance import InstanceError, Phase, parse_address
+from ..http.client import HttpClient
+from ..net.counters import Counters
+from ..net.loop import Loop
 from ..prompts.kept import KeptIndex
 from ..prompts.kept_events import KeptChange
+from .platform_list import PlatformList
+from .shard import Shard
 from .shards import shard_of_service
 
 log = get_logger("store")
@@ -55,20 +64,37 @@
     log: list
 
 
+class ReaderProcess(Protocol):
+    """What the reader needs of its process."""
+
+    loop: Loop
+    settings: ProcessSettings
+    journal: Journal
+    http: HttpClient
+    counters: Counters
+    shards: list[Shard]
+    platform: PlatformList
+    table: RouteTable | None
+
+    def after(self, milliseconds: float, act: Callable[[], None]) -> object:
+        """Calls back once, so many ms from now."""
+
+
 class PrefixCacheReader:
     """Keeps the feed's entries of cached prefixes up with their sources, whose events the index folds."""
 
-    def __init__(self, plane):
-        self.plane, self.journal = plane, plane.journal
+    def __init__(self, process: ReaderProcess) -> None:
+        """Begins at once."""
+        self.process, self.journal = process, process.journal
         self.sources: dict[str, _Source] = {}
         self.index = KeptIndex(MAX_ENTRIES, MIN_TOKENS)
         self._check()
 
     def _check(self) -> None:
-        self.plane.after(CHECK_INTERVAL_MS, self._check)
-        if self.plane.table is None:
+        self.process.after(CHECK_INTERVAL_MS, self._check)
+        if self.process.table is None:
             return
-        now = self.plane.loop.now()
+        now = self.process.loop.now()
         desired = self._desired_sources()
         with self.journal.batch():
             for name, source in list(self.sources.items()):
@@ -85,27 +111,27 @@
     def _desired_sources(self) -> dict[str, _Desired]:
         """Holders of the services whose part is led here, by name."""
         desired = {}
-        for service in self.plane.table.service_names:
-            if not self.plane.shards[shard_of_service(service)].leads:
+        for service in self.process.table.service_names:
+            if not self.process.shards[shard_of_service(service)].leads:
                 continue
-            if self.plane.table.models_of(service):
-                for instance in self.plane.platform.view.by_service(service):
+            if self.process.table.models_of(service):
+                for instance in self.process.platform.view.by_service(service):
                     if instance.phase is Phase.SERVING:
                         desired[instance.identifier] = _Desired(service, tuple(instance.address), False)
-        for store in self.plane.table.stores:
-            if self.plane.shards[shard_of_service(store["Name"])].leads:
+        for store in self.process.table.stores:
+            if self.process.shards[shard_of_service(store["Name"])].leads:
                 try:
                     address = parse_address(store["StoreAddr"])
                     name = str(address)  # as data planes name it to hosts
                     desired[name] = _Desired(store["Name"], tuple(address), True)
                 except InstanceError:
-                    self.plane.counters.add("stores.unreadable")
+                    self.process.counters.add("stores.unreadable")
         return desired
 
     def _ask(self, source: _Source) -> None:
-        self.plane.counters.add("kept.calls")
+        self.process.counters.add("kept.calls")
         path = f"/-/kv-events?Since={self.index.since(source.name)}"
-        self.plane.http.call(
+        self.process.http.call(
             source.address,
             "GET",
             path,
@@ -125,7 +151,7 @@
 
     def _publish_store_status(self, source: _Source, up: bool) -> None:
         """Feeds on whether a store answers, with the term of who says so."""
-        term = self.plane.shards[shard_of_service(source.service)].replica.term
+        term = self.process.shards[shard_of_service(source.service)].replica.term
         if self.journal.set(Topic.STORE, source.service, encode_store(StoreStatus(term, up))):
             log.info("%s is %s, term %s", source.service, "up" if up else "down", term)
 
@@ -133,13 +159,13 @@
         known = self.index.incarnation(source.name)
         if events.missing or events.incarnation != known:
             if known is not None:
-                self.plane.counters.add("kept.gaps")
+                self.process.counters.add("kept.gaps")
             self._drop(source)
         applied = self.index.apply_events(source.name, *events)
         if known not in (None, events.incarnation):
             self.index.rewind(source.name)  # `Since` was of the earlier incarnation
         if applied.unreadable:
-            self.plane.counters.add("kept.unreadable", applied.unreadable)
+            self.process.counters.add("kept.unreadable", applied.unreadable)
         for change in applied.changes:
             self._publish(source, change)
 
@@ -147,11 +173,11 @@
         """Takes one change of what a source keeps over into the feed."""
         name_text = change.salt + change.identifier
         if not name_text.isascii():  # no header could name it
-            self.plane.counters.add("kept.unreadable")
+            self.process.counters.add("kept.unreadable")
             return
         key = f"{source.name} {change.salt} {change.identifier}"
         kind = "store" if source.store else "host"
-        self.plane.counters.add(f"kept.{kind}.{'added' if change.grown else 'dropped'}")
+        self.process.counters.add(f"kept.{kind}.{'added' if change.grown else 'dropped'}")
         if change.tokens is not None and change.salt and " " not in name_text:
             source.entries.pop(key, None)
             source.entries[key] = None
--- a/hopsail/controlplane/replicas.py
+++ b/hopsail/controlplane/replicas.py
@@ -17,9 +17,9 @@
 from .decisions import STEP_INTERVAL_MS
 from .feeds import ROLE
 from .messages import REPLICATE, ReplicaMessage
+from .service_state import ServiceState
 from .shard import Shard
 from .shards import CONFIGURATION_SHARD, SHARD_NAMES
-from .service_state import ServiceState
 
 MAX_SYNC_AGE_NS = 400 * MILLISECOND  # a write that takes longer costs the leadership
 
--- a/hopsail/controlplane/rollouts.py
+++ b/hopsail/controlplane/rollouts.py
@@ -1,17 +1,26 @@
 """Roll-outs of new weights for the services whose shard is led here: orders, reports, announcements."""
 
 import json
+from collections.abc import Callable
+from typing import Protocol
 
+from ..configuration.process import ProcessSettings
+from ..configuration.route_table import RouteTable
 from ..event_log import get_logger
+from ..feed.journal import Journal
 from ..feed.topics import Topic
 from ..hosts.instance import Phase
-from ..http.client import CLOSE
+from ..http.client import CLOSE, HttpClient
+from ..net.counters import Counters
+from ..net.loop import Loop
 from ..routing.lanes import neighbours
 from ..weights.eligibility import SeenLoad, loaded_revision
 from ..weights.load import HostLoadError, decode_load, encode_load, merge_load
 from ..weights.named_revisions import NamedRevisions
 from ..weights.rollout import Announce, HostInfo, Rollout, RolloutRules, SendOrder
 from .commands import Command, CommandKind
+from .platform_list import PlatformList
+from .shard import Shard
 from .shards import shard_of_service
 
 log = get_logger("weights")
@@ -31,12 +40,29 @@
         self.rollout, self.fencing_token = rollout, fencing_token
 
 
+class RolloutsProcess(Protocol):
+    """What roll-outs need of their process."""
+
+    loop: Loop
+    settings: ProcessSettings
+    journal: Journal
+    http: HttpClient
+    counters: Counters
+    shards: list[Shard]
+    platform: PlatformList
+    table: RouteTable | None
+
+    def after(self, milliseconds: float, act: Callable[[], None]) -> object:
+        """Calls back once, so many ms from now."""
+
+
 class Rollouts:
     """One core for each model that has hosts behind its target."""
 
-    def __init__(self, plane):
-        self.plane = plane
-        bounds = plane.settings.bounds
+    def __init__(self, process: RolloutsProcess) -> None:
+        """Begins at once."""
+        self.process = process
+        bounds = process.settings.bounds
         self.rules = RolloutRules(
             deadline_ns=int((bounds.apply_one_ms - DEADLINE_MARGIN_MS) * MILLISECOND),
             lease_ns=int((bounds.lease_ms + bounds.unfreeze_ms) * MILLISECOND),
@@ -50,8 +76,8 @@
 
     def wake(self) -> None:
         """A shard's state has changed: targets and releases are looked at."""
-        now = self.plane.loop.now()
-        for shard in self.plane.shards[1:]:
+        now = self.process.loop.now()
+        for shard in self.process.shards[1:]:
             for model, revision in shard.state.revisions.items():
                 named = self.targets.setdefault(model, NamedRevisions(self.rules.deadline_ns))
                 if named.name(now, revision):
@@ -67,18 +93,18 @@
         try:
             self._announce(change.key, decode_load(change.value))
         except HostLoadError:
-            self.plane.counters.add("feed.unreadable")
+            self.process.counters.add("feed.unreadable")
 
     def _check(self) -> None:
-        self.plane.after(CHECK_INTERVAL_MS, self._check)
+        self.process.after(CHECK_INTERVAL_MS, self._check)
         self._publish_required()
-        if self.plane.table is None:
+        if self.process.table is None:
             return
         led = set()
-        for service in self.plane.table.service_names:
-            shard = self.plane.shards[shard_of_service(service)]
+        for service in self.process.table.service_names:
+            shard = self.process.shards[shard_of_service(service)]
             if shard.leads:
-                for model in self.plane.table.models_of(service):
+                for model in self.process.table.models_of(service):
                     led.add((service, model))
                     self._step(shard, service, model)
         for key in [key for key in self.running if key not in led]:
@@ -88,7 +114,7 @@
 
     def _publish_required(self) -> None:
         """Tells which revisions' time is over: a data plane that has just started can't know it."""
-        now, journal = self.plane.loop.now(), self.plane.journal
+        now, journal = self.process.loop.now(), self.process.journal
         for model, named in self.targets.items():
             required = named.required(now, self.rules.deadline_ns)
             known = journal.get(Topic.REQUIRED, model)
@@ -96,7 +122,7 @@
                 journal.set(Topic.REQUIRED, model, str(required).encode())
 
     def _hosts(self, service: str, model: str) -> list[HostInfo]:
-        instances = self.plane.platform.view.by_service(service)
+        instances = self.process.platform.view.by_service(service)
         serving = [one.identifier for one in instances if one.phase is Phase.SERVING]
         groups = neighbours(serving)
         hosts = []
@@ -120,7 +146,7 @@
         return hosts
 
     def _seen_load(self, key: str) -> SeenLoad | None:
-        value = self.plane.journal.get(Topic.LOAD, key)
+        value = self.process.journal.get(Topic.LOAD, key)
         return SeenLoad(decode_load(value), 0) if value is not None else None
 
     def _step(self, shard, service: str, model: str) -> None:
@@ -129,7 +155,7 @@
             return  # none has been named
         target = named.newest
         running = self.running.get((service, model))
-        seen = (target, self.plane.journal.topic_sequence(Topic.INSTANCE))
+        seen = (target, self.process.journal.topic_sequence(Topic.INSTANCE))
         if running is None and self.up_to_date.get((service, model)) == seen:
             return  # nothing has come since all hosts held the target
         hosts = self._hosts(service, model)
@@ -144,7 +170,7 @@
         if role is None or role.fencing_token != running.fencing_token:
             del self.running[(service, model)]  # another process has held the role since the last look
             return
-        now = self.plane.loop.now()
+        now = self.process.loop.now()
         running.rollout.update(now, hosts, named)
         if not behind and not running.rollout.loading:
             self._release(shard, service, model)
@@ -180,20 +206,20 @@
                 self._acquired(shard, service, model, result.value)
 
         self.acquiring.add(service)
-        owner = self.plane.settings.node_name
+        owner = self.process.settings.node_name
         command = Command(CommandKind.ACQUIRE_ROLE, 0, service, 0, owner, b"")
-        if not shard.propose(self.plane.loop.now(), command, acquired):
+        if not shard.propose(self.process.loop.now(), command, acquired):
             self.acquiring.discard(service)
 
     def _acquired(self, shard, service: str, model: str, fencing_token: int) -> None:
         role = shard.state.roles[service]
         if role.fencing_token != fencing_token:
             return
-        now = self.plane.loop.now()
+        now = self.process.loop.now()
         rollout = Rollout(role.owner, self.rules, model)
         rollout.acquire(now, fencing_token, self._must_wait(now, service, role))
         self.running[(service, model)] = _Running(rollout, fencing_token)
-        self.plane.counters.add("duties.acquired")
+        self.process.counters.add("duties.acquired")
 
     def _must_wait(self, now: int, service: str, role) -> bool:
         """Whether another owner may have sent an order within the lease."""
@@ -206,15 +232,15 @@
         running = self.running.pop((service, model))
         if any(key[0] == service for key in self.running):
             return
-        owner = self.plane.settings.node_name
+        owner = self.process.settings.node_name
         command = Command(CommandKind.RELEASE_ROLE, 0, service, running.fencing_token, owner, b"")
-        shard.propose(self.plane.loop.now(), command, lambda result: None)
+        shard.propose(self.process.loop.now(), command, lambda result: None)
 
     # Actions.
 
     def _act(self, rollout: Rollout, action) -> None:
         if isinstance(action, Announce):
-            instance = self.plane.platform.view.get(action.host)
+            instance = self.process.platform.view.get(action.host)
             if instance is not None:
                 self._announce(instance.load_key(rollout.model), action.load)
         elif isinstance(action, SendOrder):
@@ -223,21 +249,21 @@
             self._ask(rollout, action)
 
     def _announce(self, key: str, load) -> None:
-        known = self.plane.journal.get(Topic.LOAD, key)
+        known = self.process.journal.get(Topic.LOAD, key)
         if known is not None:
             load = merge_load(decode_load(known), load)
-        self.plane.journal.set(Topic.LOAD, key, encode_load(load))
+        self.process.journal.set(Topic.LOAD, key, encode_load(load))
 
     def _order(self, rollout: Rollout, action: SendOrder) -> None:
         def answered(response) -> None:
             status = response.status if response is not None else None
-            self.plane.counters.add(f"orders.{status}")
+            self.process.counters.add(f"orders.{status}")
             revision = action.body["Revision"]
             log.info("host %s ordered to revision %s: %s", action.host, revision, status)
-            rollout.receive_order_status(self.plane.loop.now(), action.host, status, action.serial)
+            rollout.receive_order_status(self.process.loop.now(), action.host, status, action.serial)
 
-        self.plane.counters.add("orders")
-        self.plane.http.call(
+        self.process.counters.add("orders")
+        self.process.http.call(
             tuple(action.address),
             "POST",
             ORDER_PATH,
@@ -254,11 +280,11 @@
                 try:
                     report = json.loads(response.body)
                 except ValueError:
-                    self.plane.counters.add("reports.unreadable")
-            rollout.receive_report(self.plane.loop.now(), action.host, report, action.serial)
+                    self.process.counters.add("reports.unreadable")
+            rollout.receive_report(self.process.loop.now(), action.host, report, action.serial)
 
-        self.plane.counters.add("reports")
+        self.process.counters.add("reports")
         headers = [(TARGET, action.host), CLOSE]  # an earlier report sent twice is not taken for this one
-        self.plane.http.call(
+        self.process.http.call(
             tuple(action.address), "GET", REPORT_PATH, headers, b"", CALL_TIMEOUT_NS, answered
         )
--- a/hopsail/controlplane/shard.py
+++ b/hopsail/controlplane/shard.py
@@ -17,7 +17,7 @@
 
 MAX_PENDING_PROPOSALS = 1024  # proposals that wait for their entry to be applied
 # The result of a command that no replica can carry out.
-UNREADABLE_COMMAND = Result(400, int(ResultCode.CONTROL_UNREADABLE))
+UNREADABLE_COMMAND = Result.rejection(ResultCode.CONTROL_UNREADABLE)
 
 Done = Callable[[Result | None], None]
 
--- a/hopsail/controlplane/voters.py
+++ b/hopsail/controlplane/voters.py
@@ -5,11 +5,16 @@
 more.
 """
 
-from typing import NamedTuple
+from typing import NamedTuple, Protocol
 
+from ..configuration.process import ProcessSettings
 from ..event_log import get_logger
+from ..membership.node import Membership
+from ..net.counters import Counters
 from ..replication.errors import BusyError, NotLeaderError
+from ..replication.replica import Replica
 from ..replication.state import Members
+from .shard import Shard
 
 log = get_logger("members")
 
@@ -34,33 +39,45 @@
             del self.since[identity]
 
 
+class VotersProcess(Protocol):
+    """What the choice of voters needs of its process."""
+
+    identity: str
+    settings: ProcessSettings
+    membership: Membership
+    shards: list[Shard]
+    counters: Counters
+    stopping: bool
+
+
 class Voters:
     """Learners take the place of voters that are dead or leave; nobody goes while nobody can come."""
 
-    def __init__(self, plane):
-        self.plane = plane
-        self.target = 2 * max(1, plane.settings.machine_losses) + 1
+    def __init__(self, process: VotersProcess) -> None:
+        """Wants one voter more than twice the machines that may be lost."""
+        self.process = process
+        self.target = 2 * max(1, process.settings.machine_losses) + 1
         self._watches: dict[int, Watch] = {}  # of the shards led here
 
     @property
     def dead_time(self) -> int:
         """ns of silence in the log after which a voter is dead: well inside the time between two losses."""
-        return max(MIN_DEAD_TIME_NS, int(self.plane.settings.bounds.sync_s * SECOND) // DEAD_TIME_DIVISOR)
+        return max(MIN_DEAD_TIME_NS, int(self.process.settings.bounds.sync_s * SECOND) // DEAD_TIME_DIVISOR)
 
     def check(self, now: int) -> None:
         """At most one change for each shard led here."""
         alive = self._alive()
-        for number, shard in enumerate(self.plane.shards):
-            if shard.leads and not self.plane.stopping:
+        for number, shard in enumerate(self.process.shards):
+            if shard.leads and not self.process.stopping:
                 self._check_shard(now, number, shard, alive)
             else:
                 self._watches.pop(number, None)
 
     def _alive(self) -> set[str]:
-        members = self.plane.membership.alive("controlplane")
-        return {f"{m.address[0]}:{m.address[1]}" for m in members} | {self.plane.identity}
+        members = self.process.membership.alive("controlplane")
+        return {f"{m.address[0]}:{m.address[1]}" for m in members} | {self.process.identity}
 
-    def _check_shard(self, now: int, number: int, shard, alive: set[str]) -> None:
+    def _check_shard(self, now: int, number: int, shard: Shard, alive: set[str]) -> None:
         replica = shard.replica
         replica.tick(now)  # after a freeze of this process the silence of the others says nothing
         if not shard.leads:
@@ -77,20 +94,20 @@
             replica.propose_members(now, desired.voters, desired.learners)
         except (BusyError, NotLeaderError):
             return
-        self.plane.counters.add("members.changed")
+        self.process.counters.add("members.changed")
         voters, learners = _named(desired.voters), _named(desired.learners)
         log.info("part %s: voters %s, learners %s", number, voters, learners)
         shard.pump()
 
-    def _is_timed_out(self, now: int, watch: Watch, replica, identity: str) -> bool:
+    def _is_timed_out(self, now: int, watch: Watch, replica: Replica, identity: str) -> bool:
         """Whether this leader has had nothing from a member for long while both have their roles."""
-        if identity == self.plane.identity:
+        if identity == self.process.identity:
             return False
         received_at = replica.last_reply_time(identity)
         since = watch.since[identity]
         return now - (since if received_at is None else max(received_at, since)) > self.dead_time
 
-    def _desired_members(self, now: int, watch: Watch, replica, alive: set[str]) -> Members:
+    def _desired_members(self, now: int, watch: Watch, replica: Replica, alive: set[str]) -> Members:
         """The members as they should be."""
         members = replica.members
         timed_out = {name for name in members.all if self._is_timed_out(now, watch, replica, name)}
@@ -107,7 +124,7 @@
         learners += [name for name in sorted(alive | set(replica.applicants)) if name not in known]
         return Members(voters, tuple(learners[: max(0, MAX_MEMBERS - len(voters))]))
 
-    def _coming(self, replica, leavers: list[str], absent: set[str]) -> list[str]:
+    def _coming(self, replica: Replica, leavers: list[str], absent: set[str]) -> list[str]:
         """Learners that are to vote now: as many as are desired, and have caught up."""
         members = replica.members
         needed = max(0, self.target - (len(members.voters) - len(leavers)))
--- a/tests/controlplane_simulation.py
+++ b/tests/controlplane_simulation.py
@@ -35,7 +35,7 @@
         self.act = None
 
 
-class Process(Decisions):
+class Process:
     """What `ControlPlane` is for its calls, in one life of a simulated node."""
 
     def __init__(self, simulation: "ControlSimulation", node: Node):
@@ -56,6 +56,8 @@
             lambda act: self.after(decisions.STEP_INTERVAL_MS, act),
         )
         self.shards = [self.shard]
+        self.decisions = Decisions(self)
+        self.submit, self.read_configuration = self.decisions.submit, self.decisions.read_configuration
 
     def _apply(self, state: ConfigurationState, index: int, command: Command) -> Result:
         self.simulation.check_entry(index, command)
@@ -100,7 +102,7 @@
         return self.simulation.channel(self, identity, "commands")
 
     def serve(self, method: str, argument, respond) -> None:
-        handler = self._command if method == COMMAND else self._read
+        handler = self.decisions.answer_command if method == COMMAND else self.decisions.answer_read
         handler(decode(type(argument), encode(argument)), respond, None)
 
 
--- a/tests/simulation/mutations.py
+++ b/tests/simulation/mutations.py
@@ -130,7 +130,7 @@
 
 def _any_member_answers_reads(original):
     def read_here(self, done):
-        configuration = self.shards[CONFIGURATION_SHARD].state.configuration
+        configuration = self.process.shards[CONFIGURATION_SHARD].state.configuration
         done(canonical(configuration) if configuration is not None else b"")
         return True
 
