--- a/hopsail/replication/__init__.py
+++ b/hopsail/replication/__init__.py
@@ -1,1 +1,1 @@
-"""One replicated log per part: elections, leases, membership changes, snapshots, and its durable storage."""
+"""One replicated log per shard: elections, leases, membership changes, snapshots, and its durable storage."""
--- a/hopsail/replication/durability.py
+++ b/hopsail/replication/durability.py
@@ -1,4 +1,4 @@
-"""Which part of a replica's state is synced, which is on its way to the disk, and what waits for it."""
+"""What of a replica's state is synced, which is on its way to the disk, and what waits for it."""
 
 from dataclasses import dataclass
 
@@ -49,7 +49,7 @@
         return bool(changed) or self._submitted_index < log.last_index
 
     def record_truncation(self, first: int) -> None:
-        """The log was cut at `first`."""
+        """Record that the log was truncated from `first` on."""
         self.durable_index = min(self.durable_index, first - 1)
         if first <= self._submitted_index:
             self._submitted_index = first - 1
@@ -61,18 +61,18 @@
         self._truncate_from = first if self._truncate_from is None else min(first, self._truncate_from)
 
     def record_snapshot(self, snapshot: Snapshot) -> None:
-        """The log was compacted up to a snapshot of its own."""
+        """Record that the log was compacted up to a snapshot of its own."""
         self._snapshot = snapshot
         self._submitted_index = max(self._submitted_index, snapshot.index)
 
     def record_reset(self, snapshot: Snapshot) -> None:
-        """The log was replaced by a snapshot."""
+        """Record that the log was replaced by a snapshot."""
         self.record_truncation(1)
         self._truncate_disk_from(1)
         self.record_snapshot(snapshot)
 
     def next_write(self, log: Log) -> Ready | None:
-        """The next write, if there is something to write and none is under way."""
+        """Begin the next write, if there is something to write and none is under way."""
         if self.in_flight or not self._has_work(log):
             return None
         self._serial += 1
@@ -96,7 +96,7 @@
         return ready
 
     def complete_write(self, serial: int | None) -> InFlightWrite | None:
-        """The write under way is synced; None if it is another one than `serial`."""
+        """End the write under way, which is synced; None if it is another one than `serial`."""
         done = self.in_flight
         if done is None or (serial is not None and serial != done.serial):
             return None
@@ -108,7 +108,7 @@
         return done
 
     def fail_write(self) -> None:
-        """The write under way failed: offer it again, and drop the messages that waited for it."""
+        """End the write under way, which has failed; drop the messages that waited for it."""
         self.failing = True
         self.pending_messages = []
         lost = self.in_flight
--- a/hopsail/replication/follower_role.py
+++ b/hopsail/replication/follower_role.py
@@ -33,7 +33,7 @@
         self._acknowledge()
 
     def _accept_leader(self, leader: str, term: int) -> bool:
-        """Whether the sender leads this term or a later one; if not, it is told the later term."""
+        """Whether the sender leads this term or a later one; if not, it is sent the later term."""
         if term < self.term:
             self._send_when_durable(leader, self._reply(False, 0, 0, 0, 0))
             return False
--- a/hopsail/replication/leader_role.py
+++ b/hopsail/replication/leader_role.py
@@ -2,11 +2,11 @@
 
 A member that is recovering has forgotten votes and entries. It counts in no majority. The leader ends that
 only when an entry that it proposed after the first reply of the member's present incarnation (the barrier)
-is committed without the member, and the member holds it.
+is committed without the member, and the member has it.
 
 A confirmed round would not do: a candidate of a later term that holds a forgotten vote may still be waiting
 for other votes, and the member could vote again in that term. With the barrier, such a candidate stood for
-election before the barrier was proposed, so it does not hold it. Those who have synced the barrier refuse
+election before the barrier was proposed, so it does not have it. Those who have synced the barrier refuse
 it their vote; had one voted for it earlier, it would not have taken the barrier. Forgotten entries are safe
 likewise: who led a later term, in which the member synced them, was elected by one of those who have synced
 the barrier.
--- a/hopsail/replication/leases.py
+++ b/hopsail/replication/leases.py
@@ -6,7 +6,7 @@
 
 
 class Leases(ReplicaCore):
-    """Tells whether a majority stands behind this leader."""
+    """Decides whether a majority follows this leader."""
 
     def _check_quorum(self) -> None:
         """Step down when no majority has replied for the shortest election timeout."""
--- a/hopsail/replication/log.py
+++ b/hopsail/replication/log.py
@@ -157,5 +157,5 @@
         return max(base, self.base_index + bisect_left(self._ends, least))
 
     def reset(self, snapshot: Snapshot) -> None:
-        """Replace the whole log by a snapshot."""
+        """Replace the complete log by a snapshot."""
         self._load(snapshot, [], snapshot.members)
--- a/hopsail/replication/log_sender.py
+++ b/hopsail/replication/log_sender.py
@@ -45,7 +45,7 @@
         progress.send_now = False
 
     def _batches(self, progress: Progress) -> Iterator[int]:
-        """The first index of each batch to send now; one only while it is not known what the member holds."""
+        """The first index of each batch to send now; one only while it is not known what the member has."""
         while self._may_send_more(progress) and not self._is_long(progress.next):
             yield progress.next
             if progress.probing:
--- a/hopsail/replication/member_requests.py
+++ b/hopsail/replication/member_requests.py
@@ -1,6 +1,6 @@
 """What a replica asks of the leader for its own membership: to receive the log, and to leave.
 
-One that is to end asks until the leader says that what it holds is on a majority without it. From the first
+One that is to end asks until the leader replies that what it has is on a majority without it. From the first
 such answer on it acknowledges nothing new: the leader must not rely on it for what it would take away.
 """
 
@@ -26,7 +26,7 @@
     # The side that asks.
 
     def ask_to_join(self, now: int, peers: Iterable[str]) -> None:
-        """Tell these that this replica would receive the log, unless it does."""
+        """Request from these to receive the log, unless this replica does."""
         self.now = max(now, self.now)
         has_leader = self.is_leader or self.now - self._last_leader_contact_at < LEADERLESS_TIMEOUT_NS
         if self._leaving_since is not None or (has_leader and self.identity in self.members.all):
@@ -36,7 +36,7 @@
                 self._send(peer, MemberRequest(leaving=False))
 
     def leave(self, now: int) -> None:
-        """This replica is to end: ask the leader from now on. A leader should hand over first."""
+        """This replica is to end: ask the leader from now on. A leader should transfer first."""
         self.now = max(now, self.now)
         if self._leaving_since is None:
             self._leaving_since = self._leave_request_at = self.now
@@ -111,7 +111,7 @@
         return max(0, self._majority(own, lambda progress: NEVER if progress is left_out else progress.match))
 
     def _may_be_replaced(self) -> bool:
-        """Whether a learner may vote in the place of another, or this new leader has yet to hear who asks."""
+        """Whether a learner may take its place, or this new leader may not have all requests to join yet."""
         if self.now - self._leading_since < NEW_LEADER_GRACE_NS or self.applicants:
             return True
         return any(self._is_reachable(name) for name in self.members.learners if not self.is_leaving(name))
--- a/hopsail/replication/membership_changes.py
+++ b/hopsail/replication/membership_changes.py
@@ -90,7 +90,7 @@
         return self.log.members_index <= self.commit_index and self.identity not in self.members.electors
 
     def peer_match(self, identity: str) -> int:
-        """The index up to which a member is known to hold this leader's log; 0 if not known."""
+        """The index up to which a member is known to have this leader's log; 0 if not known."""
         progress = self._progress.get(identity)
         return progress.match if progress else 0
 
--- a/hopsail/replication/record_chunks.py
+++ b/hopsail/replication/record_chunks.py
@@ -1,4 +1,4 @@
-"""Values of the storage that are too long for one record: cut into chunks, each a record. No I/O.
+"""Values of the storage that are too long for one record: split into chunks, each a record. No I/O.
 
 A value is there when all its chunks are, in their order; they tell how many follow. What is short enough is
 a record as it is: it can't be taken for a chunk, as it begins with the length of its frame.
@@ -15,7 +15,7 @@
 
 
 def is_long(value: bytes) -> bool:
-    """Whether a value is cut."""
+    """Whether a value is split."""
     return len(value) > MAX_CHUNK_BYTES
 
 
