--- a/hopsail/event_log.py
+++ b/hopsail/event_log.py
@@ -13,18 +13,20 @@
 """
 
 import traceback
-from dataclasses import dataclass
 
 from .net import log
 
 FAULT_TOPIC = "fault"
 
 
-@dataclass(frozen=True, slots=True)
 class EventLogger:
     """Writes lines on one topic. `event` is a format for `values` as in the `logging` module."""
 
-    topic: str
+    __slots__ = ("topic",)
+
+    def __init__(self, topic: str) -> None:
+        """`topic` is the first word of its lines."""
+        self.topic = topic
 
     def info(self, event: str, *values: object, **fields: object) -> None:
         """Logs a change of state that is part of normal work."""
--- a/hopsail/membership/node.py
+++ b/hopsail/membership/node.py
@@ -6,7 +6,6 @@
 """
 
 from collections.abc import Callable, Iterable, Sequence
-from dataclasses import dataclass
 from hashlib import blake2b
 from random import Random
 from time import time_ns
@@ -39,8 +38,7 @@
     suspect: bool
 
 
-@dataclass(frozen=True, slots=True, kw_only=True)
-class MembershipSettings:
+class MembershipSettings(NamedTuple):
     """Who this process is and where it finds others.
 
     `zones` are the zone names that the settings list; they are needed only to read zones too long for the
--- a/hopsail/swim/context.py
+++ b/hopsail/swim/context.py
@@ -1,8 +1,8 @@
 """What the collaborators of one member's protocol share."""
 
 from collections import Counter, OrderedDict
-from dataclasses import dataclass, field
 from random import Random
+from typing import NamedTuple
 
 from .dissemination import DisseminationQueue
 from .local_health import LocalHealth
@@ -37,8 +37,7 @@
         return [self._names.popitem(last=False)[0] for _ in range(min(limit, len(self._names)))]
 
 
-@dataclass(frozen=True, slots=True)
-class SwimContext:
+class SwimContext(NamedTuple):
     """Settings, random numbers, counters and the state that several collaborators use."""
 
     settings: SwimSettings
@@ -47,8 +46,8 @@
     updates: DisseminationQueue
     outbox: Outbox
     counts: Counter[str]
-    health: LocalHealth = field(default_factory=LocalHealth)
-    rechecks: RecheckQueue = field(default_factory=RecheckQueue)
+    health: LocalHealth
+    rechecks: RecheckQueue
 
 
 def make_context(settings: SwimSettings, random: Random, incarnation: int, now: int) -> SwimContext:
@@ -67,4 +66,6 @@
         updates=updates,
         outbox=Outbox(codec, members, updates, counts),
         counts=counts,
+        health=LocalHealth(),
+        rechecks=RecheckQueue(),
     )
