--- a/tests/test_rules_of_pages.py
+++ b/tests/test_rules_of_pages.py
@@ -328,9 +328,9 @@
 @pytest.mark.parametrize("status", [202, 200, 409, 412, 400, 421, None])
 def test_an_order_names_its_host_and_each_answer_is_told_as_it_came(status):
     rollouts, rollout = Rollouts.__new__(Rollouts), Answered()
-    rollouts.plane = Sent()
+    rollouts.process = Sent()
     rollouts._order(rollout, Order)
-    ((method, path, headers, body),) = rollouts.plane.calls
+    ((method, path, headers, body),) = rollouts.process.calls
     assert (method, path, headers[TARGET], body) == ("POST", ORDER_PATH, "i-1", Order.body)
-    rollouts.plane.done(Answer(status) if status else None)
+    rollouts.process.done(Answer(status) if status else None)
     assert rollout.statuses == [status]
