--- a/hopsail/controlplane/prefix_cache_reader.py
+++ b/hopsail/controlplane/prefix_cache_reader.py
@@ -5,23 +5,15 @@
 one the time of a move that finds nothing."""
 
 import json
-from collections.abc import Callable
-from typing import NamedTuple, Protocol
+from typing import NamedTuple
 
-from ..configuration.process import ProcessSettings
-from ..configuration.route_table import RouteTable
 from ..event_log import get_logger
-from ..feed.journal import Journal
 from ..feed.store_status import StoreStatus, encode_store
 from ..feed.topics import Topic
 from ..hosts.instance import InstanceError, Phase, parse_address
-from ..http.client import HttpClient
-from ..net.counters import Counters
-from ..net.loop import Loop
 from ..prompts.kept import KeptIndex
 from ..prompts.kept_events import KeptChange
-from .platform_list import PlatformList
-from .shard import Shard
+from .host_caller import HostCaller
 from .shards import shard_of_service
 
 log = get_logger("store")
@@ -64,26 +56,10 @@
     log: list
 
 
-class ReaderProcess(Protocol):
-    """What the reader needs of its process."""
-
-    loop: Loop
-    settings: ProcessSettings
-    journal: Journal
-    http: HttpClient
-    counters: Counters
-    shards: list[Shard]
-    platform: PlatformList
-    table: RouteTable | None
-
-    def after(self, milliseconds: float, act: Callable[[], None]) -> object:
-        """Calls back once, so many ms from now."""
-
-
 class PrefixCacheReader:
     """Keeps the feed's entries of cached prefixes up with their sources, whose events the index folds."""
 
-    def __init__(self, process: ReaderProcess) -> None:
+    def __init__(self, process: HostCaller) -> None:
         """Begins at once."""
         self.process, self.journal = process, process.journal
         self.sources: dict[str, _Source] = {}
--- a/hopsail/controlplane/rollouts.py
+++ b/hopsail/controlplane/rollouts.py
@@ -1,26 +1,18 @@
 """Roll-outs of new weights for the services whose shard is led here: orders, reports, announcements."""
 
 import json
-from collections.abc import Callable
-from typing import Protocol
 
-from ..configuration.process import ProcessSettings
-from ..configuration.route_table import RouteTable
 from ..event_log import get_logger
-from ..feed.journal import Journal
 from ..feed.topics import Topic
 from ..hosts.instance import Phase
-from ..http.client import CLOSE, HttpClient
-from ..net.counters import Counters
-from ..net.loop import Loop
+from ..http.client import CLOSE
 from ..routing.lanes import neighbours
 from ..weights.eligibility import SeenLoad, loaded_revision
 from ..weights.load import HostLoadError, decode_load, encode_load, merge_load
 from ..weights.named_revisions import NamedRevisions
 from ..weights.rollout import Announce, HostInfo, Rollout, RolloutRules, SendOrder
 from .commands import Command, CommandKind
-from .platform_list import PlatformList
-from .shard import Shard
+from .host_caller import HostCaller
 from .shards import shard_of_service
 
 log = get_logger("weights")
@@ -40,26 +32,10 @@
         self.rollout, self.fencing_token = rollout, fencing_token
 
 
-class RolloutsProcess(Protocol):
-    """What roll-outs need of their process."""
-
-    loop: Loop
-    settings: ProcessSettings
-    journal: Journal
-    http: HttpClient
-    counters: Counters
-    shards: list[Shard]
-    platform: PlatformList
-    table: RouteTable | None
-
-    def after(self, milliseconds: float, act: Callable[[], None]) -> object:
-        """Calls back once, so many ms from now."""
-
-
 class Rollouts:
     """One core for each model that has hosts behind its target."""
 
-    def __init__(self, process: RolloutsProcess) -> None:
+    def __init__(self, process: HostCaller) -> None:
         """Begins at once."""
         self.process = process
         bounds = process.settings.bounds
--- a/hopsail/event_log.py
+++ b/hopsail/event_log.py
@@ -12,12 +12,8 @@
 fleet's programs `hopsail.event_sink`, which bounds the lines of each topic.
 """
 
-import traceback
-
 from .net import log
 
-FAULT_TOPIC = "fault"
-
 
 class EventLogger:
     """Writes lines on one topic. `event` is a format for `values` as in the `logging` module."""
@@ -50,4 +46,4 @@
 
 def log_exception() -> None:
     """Logs the exception that is being handled with its traceback: a fault of the program, which goes on."""
-    log.sink().error("%s", traceback.format_exc(), extra={"topic": FAULT_TOPIC})
+    log.fault()
--- a/hopsail/replication/replica_state.py
+++ b/hopsail/replication/replica_state.py
@@ -1,8 +1,8 @@
-"""All state of a replica in one place: each field with its type, its meaning and the module that owns it.
+"""All state of a replica in one place: each field with its type, its meaning and the module that it serves.
 
-A field is read by all modules of the replica and written by its owner; others write it only by the methods
-of the owner. Times are nanoseconds of the steady clock of this process, `NEVER` where something has not
-happened.
+The module named above a field has the rules for it. All modules of the replica may read the field, and some
+fields are still set by others as well: `core.py` resets most of them when the role or the term changes. Times
+are nanoseconds of the steady clock of this process, `NEVER` where something has not happened.
 """
 
 from dataclasses import dataclass, field
